--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -97,7 +97,7 @@
 )
 
 // setNodes takes the store's list of machines: the records below prefix.
-func (c *cluster) setNodes(list mirror.Copy, prefix string) {
+func (c *cluster) setNodes(list mirror.State, prefix string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.nodes {
@@ -156,9 +156,9 @@
 	targets := c.targets(now)
 	due := c.partners(now)
 	c.mu.Unlock()
-	c.demand.Note(c.boxes.collect(c.gateway.Book, targets), now)
+	c.demand.Note(c.boxes.collect(c.gateway.Loads, targets), now)
 	c.takeStock(now)
-	c.gateway.Directory.Forget()
+	c.gateway.Directory.ForgetExpired()
 	c.changed(c.gateway.Directory.DropLapsed())
 	for _, call := range due {
 		go c.exchangeWith(ctx, call)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -50,7 +50,7 @@
 		Staleness:   c.mirror.Staleness(),
 		Revision:    c.mirror.State().Revision,
 		OrderHolder: c.orderHolder(),
-		Stamp:       c.gateway.Directory.Stamp(),
+		Stamp:       c.gateway.Directory.Version(),
 		Tally:       c.tallyFor(to, speaks),
 		News:        box.news(),
 	}
@@ -72,8 +72,8 @@
 func (c *cluster) answerExchange(ctx context.Context, said exchange) (exchange, error) {
 	c.hear(context.WithoutCancel(ctx), said)
 	answer := c.message(said.From.Name, answerVoice(said.Voice))
-	answer.Words = c.gateway.Directory.WordsSince(said.Stamp)
-	answer.Delta = c.mirror.Since(said.Revision)
+	answer.Words = c.gateway.Directory.UpdateSince(said.Stamp)
+	answer.Delta = c.mirror.DeltaSince(said.Revision)
 	return answer, nil
 }
 
@@ -82,7 +82,7 @@
 	now := time.Now()
 	c.noteMember(said, now)
 	c.takeStock(now)
-	c.gateway.Book.Hear(said.News)
+	c.gateway.Loads.MergeObservations(said.News)
 	work := make(map[residency.ModelKey]float64, len(said.Work))
 	for _, item := range said.Work {
 		work[item.ModelKey] += item.Milliseconds
@@ -94,16 +94,16 @@
 		c.boxes.forward(said.From.Name, said.Voice, said.News, work)
 	}
 	if said.Words != nil {
-		c.gateway.Directory.Update(*said.Words)
+		c.gateway.Directory.Apply(*said.Words)
 	}
 	if said.Delta != nil {
-		c.mirror.Offer(*said.Delta)
+		c.mirror.ApplyDelta(*said.Delta)
 	}
 	if said.Staleness >= 0 {
-		c.mirror.Vouch(said.Revision, now.Add(-said.Staleness))
+		c.mirror.ConfirmCurrent(said.Revision, now.Add(-said.Staleness))
 	}
 	newer := said.Revision > c.mirror.State().Revision
-	if newer || c.gateway.Directory.Stamp().Before(said.Stamp) {
+	if newer || c.gateway.Directory.Version().Before(said.Stamp) {
 		go c.fetch(ctx, said.From.Address)
 	}
 }
@@ -134,21 +134,21 @@
 	defer c.fetching.Store(false)
 	callCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	request := copyRequest{Revision: c.mirror.State().Revision, Stamp: c.gateway.Directory.Stamp()}
+	request := copyRequest{Revision: c.mirror.State().Revision, Stamp: c.gateway.Directory.Version()}
 	answer, err := peer.Call[copyAnswer](callCtx, c.client, address, methodCopy, request)
 	if err != nil {
 		return
 	}
 	if answer.Words != nil {
-		c.gateway.Directory.Update(*answer.Words)
+		c.gateway.Directory.Apply(*answer.Words)
 	}
 	if answer.Delta != nil {
-		c.mirror.Offer(*answer.Delta)
+		c.mirror.ApplyDelta(*answer.Delta)
 	}
 }
 
 func (c *cluster) answerCopy(_ context.Context, request copyRequest) (copyAnswer, error) {
-	answer := copyAnswer{Delta: c.mirror.Since(request.Revision), Words: c.gateway.Directory.WordsSince(request.Stamp)}
+	answer := copyAnswer{Delta: c.mirror.DeltaSince(request.Revision), Words: c.gateway.Directory.UpdateSince(request.Stamp)}
 	return answer, nil
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,9 +24,9 @@
 // Gateway serves requests. Set the fields before the first one.
 type Gateway struct {
 	Directory *fleet.Directory
-	Book      *dispatch.Book
+	Loads     *dispatch.LoadTracker
 	Chooser   *dispatch.Chooser
-	Backends  Backends
+	Upstreams Upstreams
 	// Ensure asks the order holder for an adapter or model.
 	Ensure func(ctx context.Context, service, model, adapter string) (residency.Ensured, error)
 	// Note takes work that was asked for.
@@ -65,7 +65,7 @@
 	request *Request
 	route   *routes.Route
 	service string
-	need    dispatch.Need
+	need    dispatch.Requirements
 	// ends is when the final answer is due; zero for never.
 	ends time.Time
 	// patience is until when the request may wait before it is sent.
@@ -126,10 +126,10 @@
 func (g *Gateway) newRun(table *routes.Table, route *routes.Route, request *Request) *run {
 	r := &run{gateway: g, request: request, route: route}
 	r.service = route.Pick(xxhash.Sum64String(request.ID))
-	r.need = dispatch.Need{Service: r.service, Urgency: route.Priority}
+	r.need = dispatch.Requirements{Service: r.service, Urgency: route.Priority}
 	if service := table.Services[r.service]; service != nil && service.Engines != nil && request.Model != "" {
 		r.need.Model, r.need.Adapter = request.Model, request.Adapter
-		r.need.Pieces = dispatch.Pieces(request.Model, request.Adapter, request.Prompt)
+		r.need.Blocks = dispatch.PrefixBlocks(request.Model, request.Adapter, request.Prompt)
 		r.need.PromptTokens = promptTokens(request)
 		r.need.AnswerTokens = request.AnswerTokens
 		if request.LengthGuess > 0 {
@@ -198,13 +198,13 @@
 // send sends the request to a back end, after the bookkeeping of one attempt.
 func (r *run) send(ctx context.Context, choice dispatch.Choice, lastEventID string) (*Answer, *dispatch.Ticket, error) {
 	r.sends++
-	r.last = choice.Backend.ID
+	r.last = choice.Upstream.ID
 	r.choice = choice
 	r.avoid = append(r.avoid, r.last)
 	r.noteWork(choice.Uncached)
-	ticket := r.gateway.Book.Begin(choice, r.need)
+	ticket := r.gateway.Loads.Begin(choice, r.need)
 	if r.need.Model != "" {
-		use := residency.Use{Backend: r.last, Model: r.need.Model, Adapter: r.need.Adapter}
+		use := residency.AdapterUse{Upstream: r.last, Model: r.need.Model, Adapter: r.need.Adapter}
 		ticket.OnEnd(r.gateway.uses.begin(use))
 	}
 	attempt := Attempt{Request: r.request, LastEventID: lastEventID, Urgency: r.route.Priority}
@@ -212,47 +212,47 @@
 		attempt.Left = time.Until(r.ends)
 	}
 	begun := time.Now()
-	answer, err := r.gateway.Backends.Send(ctx, choice.Backend.Backend, attempt)
+	answer, err := r.gateway.Upstreams.Send(ctx, choice.Upstream.Upstream, attempt)
 	r.judge(ctx, choice, answer, err, time.Since(begun))
 	return answer, ticket, err
 }
 
 // judge takes note of what an attempt's answer, or lack of one, tells of the back end.
 func (r *run) judge(ctx context.Context, choice dispatch.Choice, answer *Answer, err error, took time.Duration) {
-	id := choice.Backend.ID
+	id := choice.Upstream.ID
 	if err == nil {
-		r.gateway.Directory.Reached(id)
+		r.gateway.Directory.MarkReachable(id)
 	}
 	switch {
 	case err != nil && ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return // The caller left.
 	case errors.Is(err, ErrNotSent):
-		r.gateway.Directory.Unreachable(id)
-		r.gateway.Book.Verdict(id, false)
+		r.gateway.Directory.MarkUnreachable(id)
+		r.gateway.Loads.RecordOutcome(id, false)
 		r.logAttempt(choice, 0, took, err)
 	case err != nil:
 		r.arrivals++
 		r.tries++
-		r.gateway.Book.Verdict(id, false)
+		r.gateway.Loads.RecordOutcome(id, false)
 		r.logAttempt(choice, 0, took, err)
 	case answer.Elsewhere:
 		r.arrivals++
 		r.logAttempt(choice, answer.Status, took, nil)
 		if answer.Status == http.StatusMisdirectedRequest && r.need.Model == "" {
-			r.gateway.Directory.Miss(id, "", "")
+			r.gateway.Directory.MarkMissing(id, "", "")
 		} else {
-			r.gateway.Directory.Miss(id, r.need.Model, r.need.Adapter)
+			r.gateway.Directory.MarkMissing(id, r.need.Model, r.need.Adapter)
 		}
 	case answer.NotExecuted:
 		r.arrivals++
 		r.logAttempt(choice, answer.Status, took, nil)
 		if r.need.Adapter != "" {
-			r.gateway.Directory.Miss(id, r.need.Model, r.need.Adapter)
+			r.gateway.Directory.MarkMissing(id, r.need.Model, r.need.Adapter)
 		}
 	case answer.Status >= http.StatusInternalServerError:
 		r.arrivals++
 		r.tries++
-		r.gateway.Book.Verdict(id, false)
+		r.gateway.Loads.RecordOutcome(id, false)
 		r.logAttempt(choice, answer.Status, took, nil)
 	default:
 		r.arrivals++
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 
 const plainBody = "the whole answer"
 
-func (f *fakeBackends) send(ctx context.Context, to fleet.Backend, attempt Attempt) (*Answer, error) {
+func (f *fakeBackends) send(ctx context.Context, to fleet.Upstream, attempt Attempt) (*Answer, error) {
 	id := attempt.Request.ID
 	f.mu.Lock()
 	f.sends[id]++
@@ -123,19 +123,19 @@
 
 func newFixture(choose func(id string, n int) fate, machines int) *fixture {
 	f := &fakeBackends{choose: choose, sends: map[string]int{}, runs: map[string]int{}}
-	book := dispatch.NewBook()
+	book := dispatch.NewLoadTracker()
 	g := &Gateway{
 		Directory: fleet.New(),
-		Book:      book,
-		Chooser:   &dispatch.Chooser{Book: book},
-		Backends:  Backends{Send: f.send},
+		Loads:     book,
+		Chooser:   &dispatch.Chooser{Loads: book},
+		Upstreams: Upstreams{Send: f.send},
 		Ensure: func(context.Context, string, string, string) (residency.Ensured, error) {
 			return residency.Ensured{Ready: 2 * time.Second}, residency.ErrNoPlace
 		},
 		Log: zap.NewNop(),
 		Set: metrics.NewSet(),
 	}
-	g.uses.running = map[residency.Use]int{}
+	g.uses.running = map[residency.AdapterUse]int{}
 	g.budget = newRepeatBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return machines })
 	route := func(path string, kind routes.Kind, service string, resumable bool) routes.Route {
 		return routes.Route{
@@ -150,10 +150,10 @@
 		route("/stream/", routes.Stream, "engines", true),
 		route("/strict/", routes.Stream, "engines", false),
 	}, []routes.Service{{Name: "plain"}, {Name: "engines", Engines: engines}}, routes.Limits{}))
-	var list []fleet.Backend
+	var list []fleet.Upstream
 	for n := range 4 {
-		list = append(list, fleet.Backend{ID: fmt.Sprint("p", n), Service: "plain", Slots: 8, Revision: 1})
-		list = append(list, fleet.Backend{ID: fmt.Sprint("e", n), Service: "engines", Slots: 8, Revision: 1, Models: []fleet.Holding{{Model: "m"}}})
+		list = append(list, fleet.Upstream{ID: fmt.Sprint("p", n), Service: "plain", Slots: 8, Revision: 1})
+		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", n), Service: "engines", Slots: 8, Revision: 1, Models: []fleet.Holding{{Model: "m"}}})
 	}
 	g.Directory.SetList(1, list, time.Time{})
 	return &fixture{Gateway: g, backends: f}
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -33,10 +33,10 @@
 // logAttempt tells of a sending that brought no good answer.
 func (r *run) logAttempt(choice dispatch.Choice, status int, took time.Duration, err error) {
 	r.gateway.Set.GetOrCreateCounter("ospreymoor_attempts_failed_total").Inc()
-	load := r.gateway.Book.Total(choice.Backend.ID)
+	load := r.gateway.Loads.Total(choice.Upstream.ID)
 	r.gateway.Log.Info("attempt failed",
 		zap.String("id", r.request.ID),
-		zap.String("backend", choice.Backend.ID),
+		zap.String("backend", choice.Upstream.ID),
 		zap.Int("sending", r.sends),
 		zap.Int("status", status),
 		zap.Duration("took", took),
@@ -44,8 +44,8 @@
 		zap.Int("uncached", choice.Uncached),
 		zap.Int("running", load.Running),
 		zap.Ints("prefill", load.Prefill[:]),
-		zap.Int64("listRevision", choice.Backend.Revision),
-		zap.Duration("listAge", time.Since(choice.Backend.Listed)),
+		zap.Int64("listRevision", choice.Upstream.Revision),
+		zap.Duration("listAge", time.Since(choice.Upstream.ListedAt)),
 		logfield.Error(err))
 }
 
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -54,7 +54,7 @@
 	StoreLost int `json:"storeLost,omitempty"`
 	// Loads by back end.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
-	Uses  []residency.Use          `json:"uses,omitempty"`
+	Uses  []residency.AdapterUse   `json:"uses,omitempty"`
 }
 
 // exchange is what two machines tell each other: each sends one and is answered by one.
@@ -77,11 +77,11 @@
 	OrderHolder *orderHolder `json:"orderHolder,omitempty"`
 	// Stamp is how new the sender's knowledge of the order holder's words is, and Words what the
 	// other side lacks of them.
-	Stamp fleet.Stamp   `json:"stamp"`
-	Words *fleet.Words  `json:"words,omitempty"`
-	Tally *tally        `json:"tally,omitempty"`
-	News  dispatch.News `json:"news"`
-	Work  []workItem    `json:"work,omitempty"`
+	Stamp fleet.Version         `json:"stamp"`
+	Words *fleet.Update         `json:"words,omitempty"`
+	Tally *tally                `json:"tally,omitempty"`
+	News  dispatch.Observations `json:"news"`
+	Work  []workItem            `json:"work,omitempty"`
 }
 
 // orderHolder is the word that a machine holds the order lease.
@@ -102,14 +102,14 @@
 
 // copyRequest asks for what is newer than a copy of the store and the order holder's words.
 type copyRequest struct {
-	Revision int64       `json:"revision"`
-	Stamp    fleet.Stamp `json:"stamp"`
+	Revision int64         `json:"revision"`
+	Stamp    fleet.Version `json:"stamp"`
 }
 
 // copyAnswer holds them; nil where there is nothing newer.
 type copyAnswer struct {
 	Delta *mirror.Delta `json:"delta,omitempty"`
-	Words *fleet.Words  `json:"words,omitempty"`
+	Words *fleet.Update `json:"words,omitempty"`
 }
 
 // ensureRequest asks the order holder for an adapter or model.
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -26,7 +26,7 @@
 type Config struct {
 	// Name of this machine, the same after a restart.
 	Name string
-	Zone string
+	Hall string
 	// Cores is the processor time that this machine may use, in cores.
 	Cores float64
 	// PeerAddress is where other machines call this one, IP:PORT.
@@ -34,7 +34,7 @@
 	// Seeds are peer addresses to ask when the store is away at the start.
 	Seeds      []string
 	PeerSecret string
-	Backends   Backends
+	Upstreams  Upstreams
 	Platform   Platform
 	Retries    RetryLimits
 	// TurnTime is how long orders of two machines to one engine must be apart.
@@ -76,23 +76,23 @@
 func NewNode(config Config) *Node {
 	n := &Node{config: config, restSpread: rand.N(restSpread)}
 	directory := fleet.New()
-	book := dispatch.NewBook()
+	book := dispatch.NewLoadTracker()
 	demand := &residency.Demand{}
 	boxes := newOutboxes()
 	n.Gateway = &Gateway{
 		Directory: directory,
-		Book:      book,
-		Chooser:   &dispatch.Chooser{Book: book, Zone: config.Zone},
-		Backends:  config.Backends,
+		Loads:     book,
+		Chooser:   &dispatch.Chooser{Loads: book, Hall: config.Hall},
+		Upstreams: config.Upstreams,
 		Note:      boxes.note,
-		uses:      adapterUses{running: map[residency.Use]int{}},
+		uses:      adapterUses{running: map[residency.AdapterUse]int{}},
 		Log:       config.Log,
 		Set:       config.Set,
 	}
 	n.makeMirror()
 	n.makeController(demand)
 	n.cluster = &cluster{
-		self:       node{Name: config.Name, Zone: config.Zone, Address: config.PeerAddress, Incarnation: uuid.NewString(), Cores: config.Cores},
+		self:       node{Name: config.Name, Zone: config.Hall, Address: config.PeerAddress, Incarnation: uuid.NewString(), Cores: config.Cores},
 		seeds:      config.Seeds,
 		client:     peer.NewClient(config.PeerSecret, config.Dial, config.Set),
 		gateway:    n.Gateway,
@@ -120,14 +120,14 @@
 }
 
 func (n *Node) makeMirror() {
-	n.view = storeView{platform: n.config.Platform, node: n, decoded: map[string]fleet.Backend{}}
+	n.view = storeView{platform: n.config.Platform, node: n, decoded: map[string]fleet.Upstream{}}
 	n.mirror = &mirror.Mirror{
-		Store:   n.config.Platform.Store,
-		Changed: n.view.take,
-		Quiet:   n.watchQuiet,
-		Idle:    n.watchIdle,
-		Resting: n.watchResting,
-		Reached: func(err error) {
+		Store:       n.config.Platform.Store,
+		OnChange:    n.view.take,
+		BatchDelay:  n.watchQuiet,
+		PollTimeout: n.watchIdle,
+		Paused:      n.watchResting,
+		OnConnectivity: func(err error) {
 			if err != nil {
 				n.config.Log.Warn("store lost", logfield.Error(err))
 			} else {
@@ -142,28 +142,28 @@
 	n.turn = newTurnGuard(n.config, n.config.LeaseTTL-margin)
 	n.leaseWake = make(chan struct{}, 1)
 	n.lease = lease.New(lease.Config{
-		Store:   n.config.Platform.Store,
-		Key:     n.orderKey(),
-		Holder:  n.config.Name,
-		TTL:     n.config.LeaseTTL,
-		Margin:  margin,
-		Reclaim: true,
-		Free:    n.orderLeaseFree,
-		Wake:    n.leaseWake,
-		Changed: n.turn.changed,
+		Store:     n.config.Platform.Store,
+		Key:       n.orderKey(),
+		Holder:    n.config.Name,
+		TTL:       n.config.LeaseTTL,
+		Margin:    margin,
+		Reclaim:   true,
+		MayBeFree: n.orderLeaseFree,
+		Wake:      n.leaseWake,
+		Changed:   n.turn.changed,
 	})
 	n.controller = residency.New(residency.Config{
-		Holder:    n.config.Name,
-		Directory: n.Gateway.Directory,
-		Table:     n.Gateway.Table,
-		Engines:   n.config.Backends.Engines,
-		Term:      n.orderTerm,
-		NotBefore: n.turn.notBefore,
-		Running:   func(backend string) int { return n.Gateway.Book.Total(backend).Running },
-		Silent:    n.Gateway.Book.Silent,
-		Demand:    demand,
-		MoveCost:  n.config.MoveCost,
-		Log:       n.config.Log,
+		Holder:       n.config.Name,
+		Directory:    n.Gateway.Directory,
+		Table:        n.Gateway.Table,
+		Engines:      n.config.Upstreams.Engines,
+		Term:         n.orderTerm,
+		NotBefore:    n.turn.notBefore,
+		Running:      func(backend string) int { return n.Gateway.Loads.Total(backend).Running },
+		Unresponsive: n.Gateway.Loads.Unresponsive,
+		Demand:       demand,
+		MoveCost:     n.config.MoveCost,
+		Log:          n.config.Log,
 	})
 }
 
--- a/internal/gateway/outbox.go
+++ b/internal/gateway/outbox.go
@@ -26,8 +26,8 @@
 
 type outbox struct {
 	target
-	sent     []dispatch.Sent
-	verdicts map[string]dispatch.Verdicts
+	sent     []dispatch.SentPrompt
+	verdicts map[string]dispatch.Outcomes
 	asked    map[residency.ModelKey]float64
 }
 
@@ -39,20 +39,20 @@
 }
 
 func newOutbox(to target) *outbox {
-	return &outbox{target: to, verdicts: map[string]dispatch.Verdicts{}, asked: map[residency.ModelKey]float64{}}
+	return &outbox{target: to, verdicts: map[string]dispatch.Outcomes{}, asked: map[residency.ModelKey]float64{}}
 }
 
 // news is what the box holds for routing.
-func (o *outbox) news() dispatch.News {
-	return dispatch.News{Sent: o.sent, Verdicts: o.verdicts}
+func (o *outbox) news() dispatch.Observations {
+	return dispatch.Observations{Prompts: o.sent, Outcomes: o.verdicts}
 }
 
 // put adds news to the box.
-func (o *outbox) put(news dispatch.News, work map[residency.ModelKey]float64) {
-	o.sent = lastOf(append(o.sent, news.Sent...))
-	for id, counts := range news.Verdicts {
+func (o *outbox) put(news dispatch.Observations, work map[residency.ModelKey]float64) {
+	o.sent = lastOf(append(o.sent, news.Prompts...))
+	for id, counts := range news.Outcomes {
 		old := o.verdicts[id]
-		o.verdicts[id] = dispatch.Verdicts{Good: old.Good + counts.Good, Bad: old.Bad + counts.Bad}
+		o.verdicts[id] = dispatch.Outcomes{Succeeded: old.Succeeded + counts.Succeeded, Failed: old.Failed + counts.Failed}
 	}
 	if !o.target.work {
 		return
@@ -76,9 +76,9 @@
 
 // collect puts what happened here since the last call into the boxes of the targets, drops those
 // of others, and returns the work for this machine itself.
-func (o *outboxes) collect(book *dispatch.Book, targets []target) map[residency.ModelKey]float64 {
-	sent, verdicts := book.TakeNews()
-	news := dispatch.News{Sent: sent, Verdicts: verdicts}
+func (o *outboxes) collect(book *dispatch.LoadTracker, targets []target) map[residency.ModelKey]float64 {
+	sent, verdicts := book.TakeObservations()
+	news := dispatch.Observations{Prompts: sent, Outcomes: verdicts}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	work := o.work
@@ -102,7 +102,7 @@
 
 // forward passes on what a peer told: what a machine of the zone said goes to all, what another
 // relay said to the machines of the zone.
-func (o *outboxes) forward(from string, said voice, news dispatch.News, work map[residency.ModelKey]float64) {
+func (o *outboxes) forward(from string, said voice, news dispatch.Observations, work map[residency.ModelKey]float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for name, box := range o.boxes {
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -124,8 +124,8 @@
 	askCtx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	ensured, err := r.gateway.Ensure(askCtx, r.service, r.need.Model, r.need.Adapter)
-	if ensured.Backend != "" {
-		r.gateway.Directory.SetResidency(ensured.Term, map[string]fleet.Residency{ensured.Backend: ensured.Residency})
+	if ensured.Upstream != "" {
+		r.gateway.Directory.MergeResidency(ensured.Term, map[string]fleet.Residency{ensured.Upstream: ensured.Residency})
 		return 0, nil
 	}
 	if ctx.Err() != nil {
@@ -155,7 +155,7 @@
 	if r.need.Model == "" || r.gateway.Note == nil {
 		return
 	}
-	work := r.gateway.Book.Work(r.need, uncached)
+	work := r.gateway.Loads.Work(r.need, uncached)
 	key := residency.ModelKey{Service: r.service, Model: r.need.Model}
 	r.gateway.Note(map[residency.ModelKey]float64{key: float64(work) / float64(time.Millisecond)})
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -38,7 +38,7 @@
 			ticket.End()
 			if err == nil && r.settles(held) {
 				if held.status < http.StatusInternalServerError {
-					r.gateway.Book.Verdict(r.last, true)
+					r.gateway.Loads.RecordOutcome(r.last, true)
 				}
 				return r.finish(w, held, nil)
 			}
@@ -46,7 +46,7 @@
 				failed = held
 				continue
 			}
-			r.gateway.Book.Verdict(r.last, false)
+			r.gateway.Loads.RecordOutcome(r.last, false)
 			r.logAttempt(choice, answer.Status, 0, err)
 		} else if err == nil {
 			discard(answer)
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -33,11 +33,11 @@
 	Body io.ReadCloser
 }
 
-// Backends is the port to the back ends.
-type Backends struct {
+// Upstreams is the port to the back ends.
+type Upstreams struct {
 	// Send sends a request once and returns the answer's head. An error is ErrNotSent, ErrBroken
 	// or that of ctx; when ctx ends, the run is given up.
-	Send func(ctx context.Context, to fleet.Backend, attempt Attempt) (*Answer, error)
+	Send func(ctx context.Context, to fleet.Upstream, attempt Attempt) (*Answer, error)
 	// Forget closes what is kept open to a back end.
 	Forget func(backend string)
 	// Engines takes the orders.
@@ -49,11 +49,11 @@
 	Store kv.Store
 	// ConfigPrefix and BackendPrefix are the keys that the platform writes; OwnPrefix those that
 	// this program does.
-	ConfigPrefix  string
-	BackendPrefix string
-	OwnPrefix     string
-	// Table decodes the configuration; nil without an error if there is none.
-	Table func(records map[string]kv.Record) (*routes.Table, error)
-	// Backend decodes one entry of the list of back ends.
-	Backend func(record kv.Record) (fleet.Backend, error)
+	ConfigPrefix   string
+	UpstreamPrefix string
+	OwnPrefix      string
+	// DecodeTable decodes the configuration; nil without an error if there is none.
+	DecodeTable func(records map[string]kv.Record) (*routes.Table, error)
+	// DecodeUpstream decodes one entry of the list of back ends.
+	DecodeUpstream func(record kv.Record) (fleet.Upstream, error)
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -49,18 +49,18 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		node := NewNode(Config{
-			Name: fmt.Sprintf("n%02d", n), Zone: fmt.Sprint("z", n/zoneMachines), Cores: 0.2, PeerAddress: listener.Addr().String(),
+			Name: fmt.Sprintf("n%02d", n), Hall: fmt.Sprint("z", n/zoneMachines), Cores: 0.2, PeerAddress: listener.Addr().String(),
 			Platform: Platform{
-				Store: store, ConfigPrefix: "config", BackendPrefix: "servers/", OwnPrefix: "own/",
-				Table: func(map[string]kv.Record) (*routes.Table, error) {
+				Store: store, ConfigPrefix: "config", UpstreamPrefix: "servers/", OwnPrefix: "own/",
+				DecodeTable: func(map[string]kv.Record) (*routes.Table, error) {
 					return routes.New(1, nil, nil, routes.Limits{}), nil
 				},
-				Backend: func(record kv.Record) (fleet.Backend, error) {
-					return fleet.Backend{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
+				DecodeUpstream: func(record kv.Record) (fleet.Upstream, error) {
+					return fleet.Upstream{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
 				},
 			},
-			Backends: Backends{Forget: func(string) {}, Engines: residency.Engines{}},
-			TurnTime: 100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dialer.DialContext, Log: zap.NewNop(), Set: metrics.NewSet(),
+			Upstreams: Upstreams{Forget: func(string) {}, Engines: residency.Engines{}},
+			TurnTime:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dialer.DialContext, Log: zap.NewNop(), Set: metrics.NewSet(),
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		f.nodes = append(f.nodes, node)
@@ -121,14 +121,14 @@
 func (f *largeFleet) running(engine string) []int {
 	counts := make([]int, len(f.nodes))
 	for i, node := range f.nodes {
-		counts[i] = node.Gateway.Book.Total(engine).Running
+		counts[i] = node.Gateway.Loads.Total(engine).Running
 	}
 	return counts
 }
 
 func (f *largeFleet) begin(node int, engine string) *dispatch.Ticket {
-	choice := dispatch.Choice{Backend: &fleet.State{Backend: fleet.Backend{ID: engine}}}
-	return f.nodes[node].Gateway.Book.Begin(choice, dispatch.Need{Service: "s"})
+	choice := dispatch.Choice{Upstream: &fleet.State{Upstream: fleet.Upstream{ID: engine}}}
+	return f.nodes[node].Gateway.Loads.Begin(choice, dispatch.Requirements{Service: "s"})
 }
 
 var _ = Describe("a large fleet", func() {
@@ -160,8 +160,8 @@
 		f.stops[10]()
 		Eventually(func() bool { return f.nodes[11].cluster.followsRelay() }).WithTimeout(5 * time.Second).Should(BeFalse())
 		lost := f.begin(15, "e1")
-		Eventually(func() int { return f.nodes[4].Gateway.Book.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
-		Eventually(func() int { return f.nodes[19].Gateway.Book.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
+		Eventually(func() int { return f.nodes[4].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
+		Eventually(func() int { return f.nodes[19].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
 		lost.End()
 	})
 })
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -29,7 +29,7 @@
 	// Model and Adapter are empty for plain services.
 	Model   string
 	Adapter string
-	Prompt  []dispatch.Part
+	Prompt  []dispatch.PromptPart
 	// PromptTokens and AnswerTokens are the sizes that the caller told.
 	PromptTokens int
 	AnswerTokens int
--- a/internal/gateway/storeview.go
+++ b/internal/gateway/storeview.go
@@ -75,7 +75,7 @@
 	// config is the revision of the configuration that was decoded last.
 	config int64
 	// decoded are the back ends of the last list, by key.
-	decoded map[string]fleet.Backend
+	decoded map[string]fleet.Upstream
 	// own tells the last state of the machines' own records.
 	own partStamp
 }
@@ -87,21 +87,21 @@
 }
 
 // take takes a new copy in.
-func (v *storeView) take(state mirror.Copy) {
+func (v *storeView) take(state mirror.State) {
 	v.takeConfig(state)
 	v.takeBackends(state)
 	v.takeOwn(state)
 }
 
 // takeConfig puts a new configuration in force.
-func (v *storeView) takeConfig(state mirror.Copy) {
+func (v *storeView) takeConfig(state mirror.State) {
 	log := v.node.config.Log
 	newest := stampOf(state, v.platform.ConfigPrefix).newest
 	if newest == v.config {
 		return
 	}
 	v.config = newest
-	table, err := v.platform.Table(state.Records)
+	table, err := v.platform.DecodeTable(state.Records)
 	if err != nil {
 		log.Error("configuration not understood", zap.Int64("revision", newest), logfield.Error(err))
 		return
@@ -115,11 +115,11 @@
 }
 
 // takeBackends takes a list of back ends; only records that changed are decoded.
-func (v *storeView) takeBackends(state mirror.Copy) {
-	next := make(map[string]fleet.Backend, len(v.decoded))
-	list := make([]fleet.Backend, 0, len(v.decoded))
+func (v *storeView) takeBackends(state mirror.State) {
+	next := make(map[string]fleet.Upstream, len(v.decoded))
+	list := make([]fleet.Upstream, 0, len(v.decoded))
 	for key, record := range state.Records {
-		if !strings.HasPrefix(key, v.platform.BackendPrefix) {
+		if !strings.HasPrefix(key, v.platform.UpstreamPrefix) {
 			continue
 		}
 		backend, ok := v.decoded[key]
@@ -132,7 +132,7 @@
 		}
 	}
 	v.decoded = next
-	v.tellAll(v.node.Gateway.Directory.SetList(state.Revision, list, state.Since))
+	v.tellAll(v.node.Gateway.Directory.SetList(state.Revision, list, state.PreviousCurrentAt))
 }
 
 func (v *storeView) tellAll(changes []fleet.Change) {
@@ -141,8 +141,8 @@
 	}
 }
 
-func (v *storeView) decode(record kv.Record) (fleet.Backend, bool) {
-	backend, err := v.platform.Backend(record)
+func (v *storeView) decode(record kv.Record) (fleet.Upstream, bool) {
+	backend, err := v.platform.DecodeUpstream(record)
 	if err != nil {
 		v.node.config.Log.Warn("back end not understood", zap.String("key", record.Key), logfield.Error(err))
 	}
@@ -151,20 +151,20 @@
 
 // tell takes note of a back end that came, went or began to leave.
 func (v *storeView) tell(change fleet.Change, revision int64) {
-	v.node.config.Log.Info("back end "+string(change.What),
-		zap.String("backend", change.Backend.ID),
-		zap.String("service", change.Backend.Service),
-		zap.String("address", change.Backend.Address),
-		zap.Duration("notice", change.Backend.Remaining),
+	v.node.config.Log.Info("back end "+string(change.Kind),
+		zap.String("backend", change.Upstream.ID),
+		zap.String("service", change.Upstream.Service),
+		zap.String("address", change.Upstream.Address),
+		zap.Duration("notice", change.Upstream.Notice),
 		zap.Int64("revision", revision))
-	if change.What == fleet.Removed {
-		v.node.config.Backends.Forget(change.Backend.ID)
-		v.node.Gateway.Book.Forget(change.Backend.ID)
+	if change.Kind == fleet.Removed {
+		v.node.config.Upstreams.Forget(change.Upstream.ID)
+		v.node.Gateway.Loads.Forget(change.Upstream.ID)
 	}
 }
 
 // takeOwn takes what machines wrote themselves: their registrations and the order lease.
-func (v *storeView) takeOwn(state mirror.Copy) {
+func (v *storeView) takeOwn(state mirror.State) {
 	stamp := stampOf(state, v.platform.OwnPrefix)
 	if stamp == v.own {
 		return
@@ -178,7 +178,7 @@
 	}
 }
 
-func stampOf(state mirror.Copy, prefix string) partStamp {
+func stampOf(state mirror.State, prefix string) partStamp {
 	var stamp partStamp
 	for key, record := range state.Records {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -69,14 +69,14 @@
 	}
 	err = s.pass(answer, ticket)
 	if err == nil {
-		s.gateway.Book.Verdict(s.last, true)
+		s.gateway.Loads.RecordOutcome(s.last, true)
 		s.logEnd(http.StatusOK, "", nil)
 		return true, nil
 	}
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 		return false, err
 	}
-	s.gateway.Book.Verdict(s.last, false)
+	s.gateway.Loads.RecordOutcome(s.last, false)
 	s.logAttempt(choice, answer.Status, time.Since(s.request.Arrived), err)
 	return false, err
 }
--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -26,9 +26,9 @@
 }
 
 // merged returns the uses with each named once.
-func merged(uses []residency.Use) []residency.Use {
-	index := make(map[residency.Use]int, len(uses))
-	var list []residency.Use
+func merged(uses []residency.AdapterUse) []residency.AdapterUse {
+	index := make(map[residency.AdapterUse]int, len(uses))
+	var list []residency.AdapterUse
 	for _, use := range uses {
 		key := use
 		key.Running = 0
@@ -45,7 +45,7 @@
 
 // ownTally is what this machine itself has under way.
 func (c *cluster) ownTally() tally {
-	own := tally{Machines: 1, Loads: c.gateway.Book.Loads(), Uses: c.gateway.uses.list()}
+	own := tally{Machines: 1, Loads: c.gateway.Loads.Loads(), Uses: c.gateway.uses.list()}
 	if c.storeLost() {
 		own.StoreLost = 1
 	}
@@ -111,9 +111,9 @@
 	c.mu.Lock()
 	others := c.others(now)
 	c.mu.Unlock()
-	c.gateway.Book.SetOthers(others.Loads)
+	c.gateway.Loads.SetRemoteLoads(others.Loads)
 	if _, err := c.controller.Term(); err == nil {
-		c.controller.Used(append(c.gateway.uses.list(), others.Uses...))
+		c.controller.SetAdapterUses(append(c.gateway.uses.list(), others.Uses...))
 	}
 }
 
--- a/internal/gateway/uses.go
+++ b/internal/gateway/uses.go
@@ -10,11 +10,11 @@
 type adapterUses struct {
 	mu sync.Mutex
 	// running by use, the Running field left at 0.
-	running map[residency.Use]int
+	running map[residency.AdapterUse]int
 }
 
 // begin notes a request that uses an adapter, and returns the function to call at its end.
-func (u *adapterUses) begin(use residency.Use) (end func()) {
+func (u *adapterUses) begin(use residency.AdapterUse) (end func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running[use]++
@@ -28,10 +28,10 @@
 }
 
 // list returns all uses.
-func (u *adapterUses) list() []residency.Use {
+func (u *adapterUses) list() []residency.AdapterUse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	uses := make([]residency.Use, 0, len(u.running))
+	uses := make([]residency.AdapterUse, 0, len(u.running))
 	for use, running := range u.running {
 		use.Running = running
 		uses = append(uses, use)
--- a/pkg/dispatch/book.go
+++ b/pkg/dispatch/book.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Urgencies is how many ranks of urgency are told apart; 0 is the most urgent.
-const Urgencies = 3
+// UrgencyLevels is how many ranks of urgency are told apart; 0 is the most urgent.
+const UrgencyLevels = 3
 
 // ahead is the prompt tokens that are read before those of a new request.
 func (l *Load) ahead(urgency int) int {
 	tokens := 0
-	for rank := range min(urgency, Urgencies-1) + 1 {
+	for rank := range min(urgency, UrgencyLevels-1) + 1 {
 		tokens += l.Prefill[rank]
 	}
 	return tokens
@@ -28,7 +28,7 @@
 	// Running requests, from the sending to the end of the answer.
 	Running int `json:"r,omitempty"`
 	// Prefill is the prompt tokens that the back end has still to read, by their urgency.
-	Prefill [Urgencies]int `json:"p,omitzero"`
+	Prefill [UrgencyLevels]int `json:"p,omitzero"`
 	// Tokens of memory that the running requests take or will take.
 	Tokens int `json:"t,omitempty"`
 	// Waiting requests have no first token yet.
@@ -53,20 +53,20 @@
 	l.Waiting--
 }
 
-// Sent is a prompt that a process sent to an engine.
-type Sent struct {
-	Backend string  `json:"b"`
-	Pieces  []Piece `json:"s"`
+// SentPrompt is a prompt that a process sent to an engine.
+type SentPrompt struct {
+	Upstream string        `json:"b"`
+	Blocks   []PrefixBlock `json:"s"`
 }
 
-// Verdicts counts how requests to a back end ended.
-type Verdicts struct {
-	Good int `json:"g,omitempty"`
-	Bad  int `json:"b,omitempty"`
+// Outcomes counts how requests to a back end ended.
+type Outcomes struct {
+	Succeeded int `json:"g,omitempty"`
+	Failed    int `json:"b,omitempty"`
 }
 
-// Book keeps the loads of all back ends. It is safe for concurrent use.
-type Book struct {
+// LoadTracker keeps the loads of all back ends. It is safe for concurrent use.
+type LoadTracker struct {
 	mu       sync.Mutex
 	backends map[string]*backendBook
 	// others is what all other processes have under way, as far as they were heard.
@@ -74,8 +74,8 @@
 	// pace is how fast models work, by name: 1 is what the prediction goes by.
 	pace map[string]float64
 	// sent and verdicts are what the peers have not been told yet.
-	sent     []Sent
-	verdicts map[string]Verdicts
+	sent     []SentPrompt
+	verdicts map[string]Outcomes
 }
 
 type backendBook struct {
@@ -96,17 +96,17 @@
 	maxSentKept = 2000
 )
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{
+// NewLoadTracker returns an empty book.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{
 		backends: map[string]*backendBook{},
 		pace:     map[string]float64{},
-		verdicts: map[string]Verdicts{},
+		verdicts: map[string]Outcomes{},
 	}
 }
 
 // of returns the book of one back end. The caller holds the lock.
-func (b *Book) of(id string) *backendBook {
+func (b *LoadTracker) of(id string) *backendBook {
 	entry := b.backends[id]
 	if entry == nil {
 		entry = &backendBook{slowness: 1}
@@ -117,7 +117,7 @@
 
 // Ticket is one request under way at one back end.
 type Ticket struct {
-	book    *Book
+	book    *LoadTracker
 	backend string
 	model   string
 	load    Load
@@ -133,30 +133,30 @@
 func (t *Ticket) OnEnd(f func()) { t.onEnd = f }
 
 // Begin notes that a request is sent to a back end.
-func (b *Book) Begin(choice Choice, need Need) *Ticket {
+func (b *LoadTracker) Begin(choice Choice, need Requirements) *Ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	entry := b.of(choice.Backend.ID)
+	entry := b.of(choice.Upstream.ID)
 	load := Load{Running: 1, Waiting: 1}
-	if len(need.Pieces) > 0 || need.PromptTokens > 0 {
-		load.Prefill[min(need.Urgency, Urgencies-1)] = choice.Uncached
+	if len(need.Blocks) > 0 || need.PromptTokens > 0 {
+		load.Prefill[min(need.Urgency, UrgencyLevels-1)] = choice.Uncached
 		load.Tokens = need.PromptTokens + need.AnswerTokens
-		b.notePrompt(entry, choice.Backend.ID, need)
+		b.notePrompt(entry, choice.Upstream.ID, need)
 	}
 	entry.own.Add(load)
-	return &Ticket{book: b, backend: choice.Backend.ID, model: need.Model, load: load, sentAt: time.Now(), predicted: choice.Wait}
+	return &Ticket{book: b, backend: choice.Upstream.ID, model: need.Model, load: load, sentAt: time.Now(), predicted: choice.Wait}
 }
 
 // notePrompt counts a prompt as kept by the engine. The caller holds the lock.
-func (b *Book) notePrompt(entry *backendBook, id string, need Need) {
+func (b *LoadTracker) notePrompt(entry *backendBook, id string, need Requirements) {
 	if entry.cache == nil {
 		entry.cache = newPrefixCache(int(keptShare * float64(need.CacheTokens)))
 	}
-	entry.cache.use(need.Pieces)
+	entry.cache.use(need.Blocks)
 	// The last part is the request's own: the peers have no use for it.
-	shared := need.Pieces[:max(0, len(need.Pieces)-1)]
+	shared := need.Blocks[:max(0, len(need.Blocks)-1)]
 	if len(shared) > 0 && len(b.sent) < maxSentKept && entry.cache.tell(shared, time.Now()) {
-		b.sent = append(b.sent, Sent{Backend: id, Pieces: shared})
+		b.sent = append(b.sent, SentPrompt{Upstream: id, Blocks: shared})
 	}
 }
 
@@ -204,7 +204,7 @@
 )
 
 // observe corrects the factors by a prediction and what came of it. The caller holds the lock.
-func (b *Book) observe(entry *backendBook, model string, predicted, observed time.Duration) {
+func (b *LoadTracker) observe(entry *backendBook, model string, predicted, observed time.Duration) {
 	if predicted < leastPredicted {
 		return
 	}
@@ -218,7 +218,7 @@
 func bounded(factor float64) float64 { return min(mostFactor, max(leastFactor, factor)) }
 
 // paceOf is the factor of a model's work. The caller holds the lock.
-func (b *Book) paceOf(model string) float64 {
+func (b *LoadTracker) paceOf(model string) float64 {
 	if pace, ok := b.pace[model]; ok {
 		return pace
 	}
@@ -226,7 +226,7 @@
 }
 
 // Work estimates the engine time that a request costs.
-func (b *Book) Work(need Need, uncached int) time.Duration {
+func (b *LoadTracker) Work(need Requirements, uncached int) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	work := prefillTime(uncached) + time.Duration(need.AnswerTokens)*answerTokenTime
@@ -237,36 +237,36 @@
 // those of other requests.
 const answerTokenTime = 150 * time.Microsecond
 
-// Verdict notes how a request to a back end ended.
-func (b *Book) Verdict(backend string, good bool) {
+// RecordOutcome notes how a request to a back end ended.
+func (b *LoadTracker) RecordOutcome(backend string, good bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.verdicts[backend]
 	if good {
-		counts.Good++
+		counts.Succeeded++
 	} else {
-		counts.Bad++
+		counts.Failed++
 	}
 	b.verdicts[backend] = counts
 	b.of(backend).health.note(good)
 }
 
-// Silent tells whether nobody got an answer from a back end lately, though several tried.
-func (b *Book) Silent(backend string) bool {
+// Unresponsive tells whether nobody got an answer from a back end lately, though several tried.
+func (b *LoadTracker) Unresponsive(backend string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	entry := b.backends[backend]
 	return entry != nil && entry.health.silent(time.Now())
 }
 
-// News is what a process tells its peers.
-type News struct {
-	Sent     []Sent              `json:"sent,omitempty"`
-	Verdicts map[string]Verdicts `json:"verdicts,omitempty"`
+// Observations is what a process tells its peers.
+type Observations struct {
+	Prompts  []SentPrompt        `json:"sent,omitempty"`
+	Outcomes map[string]Outcomes `json:"verdicts,omitempty"`
 }
 
 // Loads returns what this process has under way.
-func (b *Book) Loads() map[string]Load {
+func (b *LoadTracker) Loads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	loads := map[string]Load{}
@@ -278,36 +278,36 @@
 	return loads
 }
 
-// TakeNews returns what was sent and seen since the last call.
-func (b *Book) TakeNews() ([]Sent, map[string]Verdicts) {
+// TakeObservations returns what was sent and seen since the last call.
+func (b *LoadTracker) TakeObservations() ([]SentPrompt, map[string]Outcomes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sent, verdicts := b.sent, b.verdicts
-	b.sent, b.verdicts = nil, map[string]Verdicts{}
+	b.sent, b.verdicts = nil, map[string]Outcomes{}
 	return sent, verdicts
 }
 
-// Hear takes in a peer's news.
-func (b *Book) Hear(news News) {
+// MergeObservations takes in a peer's news.
+func (b *LoadTracker) MergeObservations(news Observations) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, sent := range news.Sent {
-		entry := b.of(sent.Backend)
+	for _, sent := range news.Prompts {
+		entry := b.of(sent.Upstream)
 		if entry.cache == nil {
 			if entry.capacity == 0 {
 				continue
 			}
 			entry.cache = newPrefixCache(entry.capacity)
 		}
-		entry.cache.use(sent.Pieces)
-		entry.cache.tell(sent.Pieces, time.Now())
+		entry.cache.use(sent.Blocks)
+		entry.cache.tell(sent.Blocks, time.Now())
 	}
-	for id, counts := range news.Verdicts {
+	for id, counts := range news.Outcomes {
 		entry := b.of(id)
-		for range min(counts.Good, maxVerdicts) {
+		for range min(counts.Succeeded, maxVerdicts) {
 			entry.health.note(true)
 		}
-		for range min(counts.Bad, maxVerdicts) {
+		for range min(counts.Failed, maxVerdicts) {
 			entry.health.note(false)
 		}
 	}
@@ -317,7 +317,7 @@
 const maxVerdicts = 20
 
 // Forget drops a back end that is gone.
-func (b *Book) Forget(backend string) {
+func (b *LoadTracker) Forget(backend string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if entry := b.backends[backend]; entry != nil && entry.own == (Load{}) {
@@ -326,7 +326,7 @@
 }
 
 // Unloaded drops the prompts that an engine kept, after it unloaded a model or restarted.
-func (b *Book) Unloaded(backend string) {
+func (b *LoadTracker) Unloaded(backend string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if entry := b.backends[backend]; entry != nil {
@@ -334,22 +334,22 @@
 	}
 }
 
-// SetOthers takes what all other processes have under way at the back ends.
-func (b *Book) SetOthers(loads map[string]Load) {
+// SetRemoteLoads takes what all other processes have under way at the back ends.
+func (b *LoadTracker) SetRemoteLoads(loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others = loads
 }
 
 // total is the load of a back end from all processes. The caller holds the lock.
-func (b *Book) total(id string, entry *backendBook) Load {
+func (b *LoadTracker) total(id string, entry *backendBook) Load {
 	load := b.others[id]
 	load.Add(entry.own)
 	return load
 }
 
 // Total is the load of a back end from all processes.
-func (b *Book) Total(id string) Load {
+func (b *LoadTracker) Total(id string) Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total(id, b.of(id))
--- a/pkg/dispatch/choose.go
+++ b/pkg/dispatch/choose.go
@@ -10,14 +10,14 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// Need is what a request asks of a back end.
-type Need struct {
+// Requirements is what a request asks of a back end.
+type Requirements struct {
 	Service string
 	// Model and Adapter are empty for plain services.
 	Model   string
 	Adapter string
-	// Pieces are the beginnings of the prompt.
-	Pieces       []Piece
+	// Blocks are the beginnings of the prompt.
+	Blocks       []PrefixBlock
 	PromptTokens int
 	AnswerTokens int
 	// Urgency ranks the request; 0 is the most urgent.
@@ -28,7 +28,7 @@
 
 // Choice is a back end with what is expected there.
 type Choice struct {
-	Backend *fleet.State
+	Upstream *fleet.State
 	// Wait is the predicted time to the first token, or to the answer's begin.
 	Wait time.Duration
 	// Uncached is the prompt tokens that the engine has to read.
@@ -64,26 +64,26 @@
 
 // Chooser picks back ends by the book's loads.
 type Chooser struct {
-	Book *Book
-	// Zone of this process.
-	Zone string
+	Loads *LoadTracker
+	// Hall of this process.
+	Hall string
 }
 
 // Choose returns the best of the candidates; ok is false if there is none. Back ends that fail
 // a lot are taken only if there are no others.
-func (c *Chooser) Choose(need Need, candidates []*fleet.State) (best Choice, ok bool) {
+func (c *Chooser) Choose(need Requirements, candidates []*fleet.State) (best Choice, ok bool) {
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	c.Book.mu.Lock()
-	defer c.Book.mu.Unlock()
+	c.Loads.mu.Lock()
+	defer c.Loads.mu.Unlock()
 	now := time.Now()
-	usual := c.Book.usualFailures(candidates)
+	usual := c.Loads.usualFailures(candidates)
 	home := homeOf(need, candidates)
 	bestScore := time.Duration(0)
 	bestEjected := false
 	for _, state := range candidates {
-		entry := c.Book.of(state.ID)
+		entry := c.Loads.of(state.ID)
 		ejected := entry.health.ejected(usual, now)
 		choice := c.predict(need, state, entry)
 		score := c.score(choice, entry, state.ID == home, usual)
@@ -103,15 +103,15 @@
 	if home {
 		score -= time.Duration(homeBonus * float64(prefillTime(choice.Uncached)))
 	}
-	if choice.Backend.Busy() {
+	if choice.Upstream.Busy() {
 		score += farPenalty
 	}
 	return score
 }
 
-func (c *Chooser) predict(need Need, state *fleet.State, entry *backendBook) Choice {
-	load := c.Book.total(state.ID, entry)
-	choice := Choice{Backend: state, Load: load}
+func (c *Chooser) predict(need Requirements, state *fleet.State, entry *backendBook) Choice {
+	load := c.Loads.total(state.ID, entry)
+	choice := Choice{Upstream: state, Load: load}
 	if need.Model == "" {
 		choice.Full = state.Slots > 0 && load.Running >= state.Slots
 		perSlot := float64(load.Running) / float64(max(1, state.Slots))
@@ -123,7 +123,7 @@
 	if choice.Full {
 		choice.Wait += fullPenalty
 	}
-	if state.Zone != c.Zone {
+	if state.Hall != c.Hall {
 		choice.Wait += farPenalty
 	}
 	return choice
@@ -132,17 +132,17 @@
 // plainWait is the wait expected at a plain service whose places are all taken.
 const plainWait = 60 * time.Millisecond
 
-func (c *Chooser) predictEngine(need Need, state *fleet.State, entry *backendBook, load Load, choice *Choice) {
+func (c *Chooser) predictEngine(need Requirements, state *fleet.State, entry *backendBook, load Load, choice *Choice) {
 	entry.capacity = int(keptShare * float64(need.CacheTokens))
 	kept := 0
 	if entry.cache != nil {
-		kept = entry.cache.kept(need.Pieces)
+		kept = entry.cache.kept(need.Blocks)
 	}
 	choice.Uncached = max(1, need.PromptTokens-kept)
 	work := prefillTime(load.ahead(need.Urgency) + choice.Uncached)
 	work += time.Duration(load.Running) * tokenTime
 	step := stepTime + time.Duration(load.Running)*stepTimePerRunning
-	choice.Wait = time.Duration(c.Book.paceOf(need.Model)*float64(work)) + step
+	choice.Wait = time.Duration(c.Loads.paceOf(need.Model)*float64(work)) + step
 	memory := load.Tokens + need.PromptTokens + need.AnswerTokens
 	choice.Full = (state.Slots > 0 && load.Running >= state.Slots) ||
 		(need.CacheTokens > 0 && float64(memory) > memoryFull*float64(need.CacheTokens))
@@ -153,7 +153,7 @@
 }
 
 // usualFailures is the middle share of failures of the candidates. The caller holds the lock.
-func (b *Book) usualFailures(candidates []*fleet.State) float64 {
+func (b *LoadTracker) usualFailures(candidates []*fleet.State) float64 {
 	least, sum := 1.0, 0.0
 	for _, state := range candidates {
 		failures := b.of(state.ID).health.failures
@@ -165,12 +165,12 @@
 }
 
 // homeOf is the candidate that all processes prefer for a prompt that no engine keeps.
-func homeOf(need Need, candidates []*fleet.State) string {
-	if len(need.Pieces) < 2 {
+func homeOf(need Requirements, candidates []*fleet.State) string {
+	if len(need.Blocks) < 2 {
 		return ""
 	}
 	// The last part is the request's own.
-	key := need.Pieces[len(need.Pieces)-2].Key
+	key := need.Blocks[len(need.Blocks)-2].Key
 	var home string
 	var highest uint64
 	var buffer [8]byte
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -19,27 +19,27 @@
 
 func engines(n int) []*fleet.State {
 	directory := fleet.New()
-	var list []fleet.Backend
+	var list []fleet.Upstream
 	for i := range n {
-		list = append(list, fleet.Backend{ID: fmt.Sprint("e", i), Service: "s", Zone: "z", Slots: 8, Revision: 1})
+		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", i), Service: "s", Hall: "z", Slots: 8, Revision: 1})
 	}
 	directory.SetList(1, list, time.Time{})
 	return directory.Of("s")
 }
 
-func need(own string) dispatch.Need {
-	parts := []dispatch.Part{{ID: "a", Tokens: 3000}, {ID: "b", Tokens: 3000}, {ID: own, Tokens: 500}}
-	return dispatch.Need{
-		Service: "s", Model: "m", Pieces: dispatch.Pieces("m", "", parts), PromptTokens: 6500, AnswerTokens: 50, CacheTokens: 200_000,
+func need(own string) dispatch.Requirements {
+	parts := []dispatch.PromptPart{{ID: "a", Tokens: 3000}, {ID: "b", Tokens: 3000}, {ID: own, Tokens: 500}}
+	return dispatch.Requirements{
+		Service: "s", Model: "m", Blocks: dispatch.PrefixBlocks("m", "", parts), PromptTokens: 6500, AnswerTokens: 50, CacheTokens: 200_000,
 	}
 }
 
 var _ = Describe("a chooser", func() {
-	var book *dispatch.Book
+	var book *dispatch.LoadTracker
 	var chooser *dispatch.Chooser
 	BeforeEach(func() {
-		book = dispatch.NewBook()
-		chooser = &dispatch.Chooser{Book: book, Zone: "z"}
+		book = dispatch.NewLoadTracker()
+		chooser = &dispatch.Chooser{Loads: book, Hall: "z"}
 	})
 
 	It("sends prompts that share a beginning where it is kept, until waiting there costs more", func() {
@@ -48,31 +48,31 @@
 		Expect(ok).To(BeTrue())
 		book.Begin(first, need("x")).End()
 		second, _ := chooser.Choose(need("y"), states)
-		Expect(second.Backend.ID).To(Equal(first.Backend.ID))
+		Expect(second.Upstream.ID).To(Equal(first.Upstream.ID))
 		Expect(second.Uncached).To(Equal(500))
 		for n := range 20 {
 			book.Begin(second, need(fmt.Sprint("z", n)))
 		}
 		third, _ := chooser.Choose(need("q"), states)
-		Expect(third.Backend.ID).NotTo(Equal(first.Backend.ID))
+		Expect(third.Upstream.ID).NotTo(Equal(first.Upstream.ID))
 	})
 
 	It("has all machines prefer one engine for a prompt that none keeps", func() {
 		states := engines(6)
 		first, _ := chooser.Choose(need("x"), states)
 		for range 5 {
-			other := dispatch.NewBook()
-			choice, _ := (&dispatch.Chooser{Book: other, Zone: "z"}).Choose(need("y"), states)
-			Expect(choice.Backend.ID).To(Equal(first.Backend.ID))
+			other := dispatch.NewLoadTracker()
+			choice, _ := (&dispatch.Chooser{Loads: other, Hall: "z"}).Choose(need("y"), states)
+			Expect(choice.Upstream.ID).To(Equal(first.Upstream.ID))
 		}
 	})
 
 	It("counts what peers have under way, and forgets it after a while", func() {
 		states := engines(2)
-		book.SetOthers(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
+		book.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
 		for range 5 {
-			choice, _ := chooser.Choose(dispatch.Need{Service: "s"}, states)
-			Expect(choice.Backend.ID).To(Equal("e1"))
+			choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+			Expect(choice.Upstream.ID).To(Equal("e1"))
 		}
 		Expect(book.Total("e0").Running).To(Equal(8))
 	})
@@ -95,31 +95,31 @@
 	It("leaves back ends alone that fail more than the others, and tries them again later", func() {
 		states := engines(4)
 		for range 12 {
-			book.Verdict("e0", false)
+			book.RecordOutcome("e0", false)
 			for _, id := range []string{"e1", "e2", "e3"} {
-				book.Verdict(id, true)
+				book.RecordOutcome(id, true)
 			}
 		}
 		for range 50 {
-			choice, _ := chooser.Choose(dispatch.Need{Service: "s"}, states)
-			Expect(choice.Backend.ID).NotTo(Equal("e0"))
+			choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+			Expect(choice.Upstream.ID).NotTo(Equal("e0"))
 		}
-		only, ok := chooser.Choose(dispatch.Need{Service: "s"}, states[:1])
+		only, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states[:1])
 		Expect(ok).To(BeTrue())
-		Expect(only.Backend.ID).To(Equal("e0"))
+		Expect(only.Upstream.ID).To(Equal("e0"))
 	})
 
 	It("does not eject anybody when all fail alike", func() {
 		states := engines(2)
 		for range 30 {
-			book.Verdict("e0", false)
-			book.Verdict("e1", false)
+			book.RecordOutcome("e0", false)
+			book.RecordOutcome("e1", false)
 		}
 		seen := map[string]bool{}
 		for range 100 {
-			choice, ok := chooser.Choose(dispatch.Need{Service: "s"}, states)
+			choice, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
 			Expect(ok).To(BeTrue())
-			seen[choice.Backend.ID] = true
+			seen[choice.Upstream.ID] = true
 		}
 		Expect(seen).To(HaveLen(2))
 	})
@@ -144,7 +144,7 @@
 	for _, n := range []int{18, 140, 600} {
 		b.Run(fmt.Sprint(n, "engines"), func(b *testing.B) {
 			states := engines(n)
-			chooser := &dispatch.Chooser{Book: dispatch.NewBook(), Zone: "z"}
+			chooser := &dispatch.Chooser{Loads: dispatch.NewLoadTracker(), Hall: "z"}
 			request := need("x")
 			b.ReportAllocs()
 			for b.Loop() {
--- a/pkg/dispatch/prefixes.go
+++ b/pkg/dispatch/prefixes.go
@@ -7,31 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one piece of a prompt; requests share parts.
-type Part struct {
+// PromptPart is one piece of a prompt; requests share parts.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Piece is a prompt's beginning up to the end of one part, for one model and adapter.
-type Piece struct {
+// PrefixBlock is a prompt's beginning up to the end of one part, for one model and adapter.
+type PrefixBlock struct {
 	// Key is a hash of the model, the adapter and all parts up to here.
 	Key uint64 `json:"k"`
 	// Tokens of the last part alone.
 	Tokens int `json:"t"`
 }
 
-// Pieces returns the beginnings of a prompt, shortest first.
-func Pieces(model, adapter string, parts []Part) []Piece {
+// PrefixBlocks returns the beginnings of a prompt, shortest first.
+func PrefixBlocks(model, adapter string, parts []PromptPart) []PrefixBlock {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(adapter)
-	pieces := make([]Piece, len(parts))
+	pieces := make([]PrefixBlock, len(parts))
 	for i, part := range parts {
 		_, _ = digest.Write([]byte{0})
 		_, _ = digest.WriteString(part.ID)
-		pieces[i] = Piece{Key: digest.Sum64(), Tokens: part.Tokens}
+		pieces[i] = PrefixBlock{Key: digest.Sum64(), Tokens: part.Tokens}
 	}
 	return pieces
 }
@@ -47,7 +47,7 @@
 
 // keptPiece is a piece in the cache.
 type keptPiece struct {
-	Piece
+	PrefixBlock
 	// told is when the peers last heard that a prompt with the piece was sent.
 	told time.Time
 }
@@ -61,7 +61,7 @@
 }
 
 // kept counts the tokens of a prompt's beginning that the engine keeps.
-func (c *prefixCache) kept(pieces []Piece) int {
+func (c *prefixCache) kept(pieces []PrefixBlock) int {
 	tokens := 0
 	for _, piece := range pieces {
 		if _, ok := c.entries[piece.Key]; !ok {
@@ -73,13 +73,13 @@
 }
 
 // use notes that the engine was sent a prompt.
-func (c *prefixCache) use(pieces []Piece) {
+func (c *prefixCache) use(pieces []PrefixBlock) {
 	for _, piece := range pieces {
 		if element, ok := c.entries[piece.Key]; ok {
 			c.order.MoveToFront(element)
 			continue
 		}
-		c.entries[piece.Key] = c.order.PushFront(&keptPiece{Piece: piece})
+		c.entries[piece.Key] = c.order.PushFront(&keptPiece{PrefixBlock: piece})
 		c.tokens += piece.Tokens
 	}
 	for c.tokens > c.capacity && c.order.Len() > 0 {
@@ -92,7 +92,7 @@
 }
 
 // tell tells whether the peers should hear now that a prompt was sent, and notes that they do.
-func (c *prefixCache) tell(pieces []Piece, now time.Time) bool {
+func (c *prefixCache) tell(pieces []PrefixBlock, now time.Time) bool {
 	due := false
 	for _, piece := range pieces {
 		element, ok := c.entries[piece.Key]
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Backend is one back end as the platform's list tells. It does not change once listed.
-type Backend struct {
+// Upstream is one back end as the platform's list tells. It does not change once listed.
+type Upstream struct {
 	ID      string
 	Service string
 	// Address is IP:PORT.
 	Address string
-	Zone    string
+	Hall    string
 	// Version of its software.
 	Version string
 	// Slots is how many requests it works on at once.
 	Slots int
 	// Leaving back ends get nothing new.
 	Leaving bool
-	// Remaining is the notice that a leaving back end gave; 0 if it gave none.
-	Remaining time.Duration
+	// Notice is the notice that a leaving back end gave; 0 if it gave none.
+	Notice time.Duration
 	// Models that it holds, with their adapters.
 	Models []Holding
 	// Revision is the list's revision at which this was said.
@@ -57,13 +57,13 @@
 
 // State is a back end with everything known of it. It does not change once made.
 type State struct {
-	Backend
-	// Listed is when the platform's list last said something new of it.
-	Listed time.Time
+	Upstream
+	// ListedAt is when the platform's list last said something new of it.
+	ListedAt time.Time
 	// LeavesAt is when a back end that gave notice is gone; zero if it gave none.
 	LeavesAt time.Time
-	// Until is when a back end that the list has no more is dropped; zero if it is listed.
-	Until time.Time
+	// DropAt is when a back end that the list has no more is dropped; zero if it is listed.
+	DropAt time.Time
 
 	adapters  map[string][]string
 	withdrawn []string
@@ -92,7 +92,7 @@
 // Usable tells whether the back end may get something new: it neither leaves nor has lapsed for too
 // long.
 func (s *State) Usable(now time.Time) bool {
-	return !s.Leaving && (s.Until.IsZero() || now.Before(s.Until))
+	return !s.Leaving && (s.DropAt.IsZero() || now.Before(s.DropAt))
 }
 
 // Adapters lists the adapters of a model that the engine is known to have.
@@ -110,7 +110,7 @@
 	// words are what the order holder said last, by engine.
 	words map[string]word
 	// known is up to where all of the order holder's words are known.
-	known    Stamp
+	known    Version
 	revision int64
 	// disks tell when a model was last seen on the engine at an address: a restart keeps the
 	// disk, though the engine gets a new id.
@@ -140,10 +140,10 @@
 }
 
 // join makes the state of a back end from all sources. The caller holds the lock.
-func (d *Directory) join(backend Backend, old *State) *State {
-	state := &State{Backend: backend, Listed: time.Now(), adapters: map[string][]string{}}
-	if backend.Leaving && backend.Remaining > 0 {
-		state.LeavesAt = state.Listed.Add(backend.Remaining)
+func (d *Directory) join(backend Upstream, old *State) *State {
+	state := &State{Upstream: backend, ListedAt: time.Now(), adapters: map[string][]string{}}
+	if backend.Leaving && backend.Notice > 0 {
+		state.LeavesAt = state.ListedAt.Add(backend.Notice)
 		if old != nil && !old.LeavesAt.IsZero() {
 			state.LeavesAt = old.LeavesAt
 		}
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -19,8 +19,8 @@
 	RunSpecs(t, "Fleet")
 }
 
-func engine(id string, revision int64, models ...string) fleet.Backend {
-	backend := fleet.Backend{ID: id, Service: "s", Revision: revision}
+func engine(id string, revision int64, models ...string) fleet.Upstream {
+	backend := fleet.Upstream{ID: id, Service: "s", Revision: revision}
 	for _, model := range models {
 		backend.Models = append(backend.Models, fleet.Holding{Model: model})
 	}
@@ -31,16 +31,16 @@
 	var d *fleet.Directory
 	BeforeEach(func() {
 		d = fleet.New()
-		d.SetList(10, []fleet.Backend{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
+		d.SetList(10, []fleet.Upstream{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
 	})
 
 	It("tells who came, leaves and went, and ignores older lists", func() {
 		leaving := engine("e1", 11, "m1", "m2")
-		leaving.Leaving, leaving.Remaining = true, 2*time.Second
-		changes := d.SetList(12, []fleet.Backend{leaving, engine("e3", 12)}, time.Time{})
+		leaving.Leaving, leaving.Notice = true, 2*time.Second
+		changes := d.SetList(12, []fleet.Upstream{leaving, engine("e3", 12)}, time.Time{})
 		kinds := map[string]fleet.ChangeKind{}
 		for _, change := range changes {
-			kinds[change.Backend.ID] = change.What
+			kinds[change.Upstream.ID] = change.Kind
 		}
 		Expect(kinds).To(Equal(map[string]fleet.ChangeKind{"e1": fleet.Leaving, "e2": fleet.Removed, "e3": fleet.Joined}))
 		Expect(d.SetList(11, nil, time.Time{})).To(BeEmpty())
@@ -49,7 +49,7 @@
 	})
 
 	It("joins what the order holder says, newest term and sequence first", func() {
-		d.SetResidency(5, map[string]fleet.Residency{"e1": {
+		d.MergeResidency(5, map[string]fleet.Residency{"e1": {
 			Sequence: 2, Withdrawn: []string{"m1"}, Loaded: []string{"m3"}, Dropped: []string{"m2"},
 			Adapters: map[string][]string{"m3": {"a1"}},
 		}})
@@ -57,40 +57,40 @@
 		Expect([]bool{state.Holds("m1"), state.Holds("m2"), state.Holds("m3")}).To(Equal([]bool{false, false, true}))
 		Expect(state.HoldsAdapter("m3", "a1")).To(BeTrue())
 		Expect(state.HoldsAdapter("m3", "a2")).To(BeFalse())
-		d.SetResidency(5, map[string]fleet.Residency{"e1": {Sequence: 1}})
+		d.MergeResidency(5, map[string]fleet.Residency{"e1": {Sequence: 1}})
 		Expect(d.Get("e1").Holds("m1")).To(BeFalse())
-		d.SetResidency(4, map[string]fleet.Residency{"e1": {Sequence: 9}})
+		d.MergeResidency(4, map[string]fleet.Residency{"e1": {Sequence: 9}})
 		Expect(d.Get("e1").Holds("m1")).To(BeFalse())
-		d.SetResidency(6, map[string]fleet.Residency{"e1": {Sequence: 1}})
+		d.MergeResidency(6, map[string]fleet.Residency{"e1": {Sequence: 1}})
 		Expect(d.Get("e1").Holds("m1")).To(BeTrue())
-		Expect(fleet.Stamp{Term: 5, Sequence: 9}.Before(d.Stamp())).To(BeTrue())
+		Expect(fleet.Version{Term: 5, Sequence: 9}.Before(d.Version())).To(BeTrue())
 	})
 
 	It("passes on only what a peer does not know, and loses nothing of it", func() {
 		peer := fleet.New()
-		peer.SetList(10, []fleet.Backend{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
+		peer.SetList(10, []fleet.Upstream{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
 		catchUp := func() map[string]fleet.Residency {
-			words := d.WordsSince(peer.Stamp())
+			words := d.UpdateSince(peer.Version())
 			if words == nil {
 				return nil
 			}
-			peer.Update(*words)
+			peer.Apply(*words)
 			return words.Engines
 		}
-		d.Announce(5, "e1", fleet.Residency{Busy: true})
-		d.Announce(5, "e2", fleet.Residency{Busy: true})
+		d.Publish(5, "e1", fleet.Residency{Busy: true})
+		d.Publish(5, "e2", fleet.Residency{Busy: true})
 		Expect(catchUp()).To(HaveLen(2))
 		Expect(catchUp()).To(BeNil())
-		d.Announce(5, "e1", fleet.Residency{Loaded: []string{"m3"}})
-		number := d.Announce(5, "e2", fleet.Residency{Loaded: []string{"m3"}})
+		d.Publish(5, "e1", fleet.Residency{Loaded: []string{"m3"}})
+		number := d.Publish(5, "e2", fleet.Residency{Loaded: []string{"m3"}})
 		// A single word that comes ahead must not hide the ones before it.
-		peer.SetResidency(5, map[string]fleet.Residency{"e2": {Loaded: []string{"m3"}, Sequence: number}})
+		peer.MergeResidency(5, map[string]fleet.Residency{"e2": {Loaded: []string{"m3"}, Sequence: number}})
 		Expect(peer.Get("e2").Holds("m3")).To(BeTrue())
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
 		Expect(catchUp()).To(HaveLen(2))
 		Expect(peer.Get("e1").Holds("m3")).To(BeTrue())
-		d.Announce(7, "e1", fleet.Residency{})
-		Expect(d.Announce(6, "e1", fleet.Residency{Loaded: []string{"m4"}})).To(BeZero())
+		d.Publish(7, "e1", fleet.Residency{})
+		Expect(d.Publish(6, "e1", fleet.Residency{Loaded: []string{"m4"}})).To(BeZero())
 		Expect(catchUp()).To(HaveLen(1))
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
 		// The new holder has not spoken of this engine yet: the former one's word holds.
@@ -100,11 +100,11 @@
 	It("drops a back end at whose address a newer one is listed", func() {
 		old, restarted := engine("e1", 11, "m1"), engine("e9", 12)
 		old.Address, restarted.Address = "10.0.0.1:1", "10.0.0.1:1"
-		Expect(d.SetList(11, []fleet.Backend{old}, time.Time{})).NotTo(BeEmpty())
-		d.SetList(12, []fleet.Backend{restarted, old}, time.Time{})
+		Expect(d.SetList(11, []fleet.Upstream{old}, time.Time{})).NotTo(BeEmpty())
+		d.SetList(12, []fleet.Upstream{restarted, old}, time.Time{})
 		Expect(d.Get("e1")).To(BeNil())
 		Expect(d.Get("e9")).NotTo(BeNil())
-		d.SetList(13, []fleet.Backend{old, restarted}, time.Time{})
+		d.SetList(13, []fleet.Upstream{old, restarted}, time.Time{})
 		Expect(d.Get("e1")).To(BeNil())
 	})
 
@@ -112,19 +112,19 @@
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			d := fleet.New()
-			at := func(id, address string, leaving bool) fleet.Backend {
+			at := func(id, address string, leaving bool) fleet.Upstream {
 				backend := engine(id, 8, "m1")
 				backend.Address, backend.Leaving = address, leaving
 				return backend
 			}
-			list := []fleet.Backend{at("lives", "a:1", false), at("crashed", "a:2", false), at("restarted", "a:3", false), at("left", "a:4", true)}
+			list := []fleet.Upstream{at("lives", "a:1", false), at("crashed", "a:2", false), at("restarted", "a:3", false), at("left", "a:4", true)}
 			d.SetList(8, list, time.Time{})
-			d.Announce(1, "lives", fleet.Residency{Loaded: []string{"m2"}})
+			d.Publish(1, "lives", fleet.Residency{Loaded: []string{"m2"}})
 			current := time.Now()
 			time.Sleep(400 * time.Millisecond)
 			again := at("again", "a:3", false)
 			again.Revision = 9
-			d.SetList(9, []fleet.Backend{again}, current)
+			d.SetList(9, []fleet.Upstream{again}, current)
 			present := func() []string {
 				var ids []string
 				for _, state := range d.Of("s") {
@@ -133,19 +133,19 @@
 				return ids
 			}
 			Expect(present()).To(Equal([]string{"again", "crashed", "lives"}))
-			d.Announce(1, "crashed", fleet.Residency{Loaded: []string{"m2"}})
+			d.Publish(1, "crashed", fleet.Residency{Loaded: []string{"m2"}})
 			time.Sleep(900 * time.Millisecond)
 			Expect(d.DropLapsed()).To(BeEmpty())
-			Expect(d.SetList(9, []fleet.Backend{again}, time.Now())).To(BeEmpty())
+			Expect(d.SetList(9, []fleet.Upstream{again}, time.Now())).To(BeEmpty())
 			back := at("lives", "a:1", false)
 			back.Revision = 10
-			Expect(d.SetList(10, []fleet.Backend{again, back}, time.Now())).To(BeEmpty())
+			Expect(d.SetList(10, []fleet.Upstream{again, back}, time.Now())).To(BeEmpty())
 			Expect(d.Get("lives").Holds("m2")).To(BeTrue())
 			time.Sleep(300 * time.Millisecond)
 			Expect(d.DropLapsed()).To(HaveLen(1))
 			Expect(present()).To(Equal([]string{"again", "lives"}))
 			By("not where the list was out of date already")
-			d.SetList(11, []fleet.Backend{again}, time.Now().Add(-2*time.Second))
+			d.SetList(11, []fleet.Upstream{again}, time.Now().Add(-2*time.Second))
 			Expect(present()).To(Equal([]string{"again"}))
 		})
 	})
@@ -154,8 +154,8 @@
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			span := func() time.Duration {
-				d.Unreachable("e1")
-				d.Unreachable("e1") // Another sending that was under way does not count.
+				d.MarkUnreachable("e1")
+				d.MarkUnreachable("e1") // Another sending that was under way does not count.
 				begun := time.Now()
 				for d.Missing("e1", "", "") {
 					time.Sleep(10 * time.Millisecond)
@@ -164,18 +164,18 @@
 			}
 			Expect([]time.Duration{span(), span(), span(), span()}).To(Equal([]time.Duration{
 				500 * time.Millisecond, time.Second, 2 * time.Second, 2 * time.Second}))
-			d.Reached("e1")
+			d.MarkReachable("e1")
 			Expect(span()).To(Equal(500 * time.Millisecond))
 		})
 	})
 
 	It("believes for a while that an engine lacks something or takes no connection", func() {
-		d.Miss("e1", "m1", "a1")
+		d.MarkMissing("e1", "m1", "a1")
 		Expect(d.Missing("e1", "m1", "a1")).To(BeTrue())
 		Expect(d.Missing("e1", "m1", "a2")).To(BeFalse())
-		d.Unreachable("e2")
+		d.MarkUnreachable("e2")
 		Expect(d.Missing("e2", "any", "")).To(BeTrue())
-		d.Miss("e2", "", "")
+		d.MarkMissing("e2", "", "")
 		Expect(d.Missing("e2", "any", "")).To(BeTrue())
 	})
 })
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -8,9 +8,9 @@
 
 // Change is a back end that came, left or began to leave with a list.
 type Change struct {
-	Backend Backend
-	// What is one of the Change constants.
-	What ChangeKind
+	Upstream Upstream
+	// Kind is one of the Change constants.
+	Kind ChangeKind
 }
 
 // ChangeKind says what a list changed.
@@ -32,7 +32,7 @@
 
 // SetList takes a newer list of all back ends, and returns who came, went or began to leave. since
 // is when the list before was still current.
-func (d *Directory) SetList(revision int64, list []Backend, since time.Time) []Change {
+func (d *Directory) SetList(revision int64, list []Upstream, since time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if revision < d.revision {
@@ -44,11 +44,11 @@
 	for _, backend := range current(list) {
 		listed[backend.ID] = true
 		old := d.states[backend.ID]
-		if old != nil && old.Revision == backend.Revision && old.Until.IsZero() {
+		if old != nil && old.Revision == backend.Revision && old.DropAt.IsZero() {
 			continue
 		}
 		if what := changeOf(old, backend); what != "" {
-			changes = append(changes, Change{Backend: backend, What: what})
+			changes = append(changes, Change{Upstream: backend, Kind: what})
 		}
 		d.states[backend.ID] = d.join(backend, old)
 		d.noteDisk(backend)
@@ -59,7 +59,7 @@
 		if listed[id] {
 			continue
 		}
-		until := state.Until
+		until := state.DropAt
 		if until.IsZero() {
 			until = since.Add(lapseTime)
 		}
@@ -67,11 +67,11 @@
 			changes = append(changes, d.drop(state))
 			continue
 		}
-		if state.Until.IsZero() {
+		if state.DropAt.IsZero() {
 			lapsed := *state
-			lapsed.Until = until
+			lapsed.DropAt = until
 			d.states[id] = &lapsed
-			changes = append(changes, Change{Backend: state.Backend, What: Lapsed})
+			changes = append(changes, Change{Upstream: state.Upstream, Kind: Lapsed})
 		}
 	}
 	d.index()
@@ -85,7 +85,7 @@
 	var changes []Change
 	now := time.Now()
 	for _, state := range d.states {
-		if !state.Until.IsZero() && !now.Before(state.Until) {
+		if !state.DropAt.IsZero() && !now.Before(state.DropAt) {
 			changes = append(changes, d.drop(state))
 		}
 	}
@@ -100,11 +100,11 @@
 	delete(d.states, state.ID)
 	delete(d.words, state.ID)
 	delete(d.unreachable, state.ID)
-	return Change{Backend: state.Backend, What: Removed}
+	return Change{Upstream: state.Upstream, Kind: Removed}
 }
 
 // addresses are those at which back ends are listed.
-func addresses(list []Backend) map[string]bool {
+func addresses(list []Upstream) map[string]bool {
 	taken := make(map[string]bool, len(list))
 	for _, backend := range list {
 		taken[backend.Address] = true
@@ -114,18 +114,18 @@
 
 // current drops the back ends at whose address a newer one is listed: their processes are gone,
 // though the list still has them until their heartbeats are missed.
-func current(list []Backend) []Backend {
+func current(list []Upstream) []Upstream {
 	newest := make(map[string]int64, len(list))
 	for _, backend := range list {
 		newest[backend.Address] = max(newest[backend.Address], backend.Revision)
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(backend Backend) bool {
+	return slices.DeleteFunc(slices.Clone(list), func(backend Upstream) bool {
 		return backend.Address != "" && backend.Revision < newest[backend.Address]
 	})
 }
 
 // noteDisk notes what an engine holds. The caller holds the lock.
-func (d *Directory) noteDisk(backend Backend) {
+func (d *Directory) noteDisk(backend Upstream) {
 	key := disk{backend.Service, backend.Address}
 	for _, holding := range backend.Models {
 		if d.disks[key] == nil {
@@ -135,15 +135,15 @@
 	}
 }
 
-// Disk returns when models were last seen on the engine at a back end's address, also before
+// ModelsOnDisk returns when models were last seen on the engine at a back end's address, also before
 // its latest restart.
-func (d *Directory) Disk(backend Backend) map[string]time.Time {
+func (d *Directory) ModelsOnDisk(backend Upstream) map[string]time.Time {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return maps.Clone(d.disks[disk{backend.Service, backend.Address}])
 }
 
-func changeOf(old *State, now Backend) ChangeKind {
+func changeOf(old *State, now Upstream) ChangeKind {
 	switch {
 	case old == nil:
 		return Joined
--- a/pkg/fleet/misses.go
+++ b/pkg/fleet/misses.go
@@ -18,9 +18,9 @@
 	goneTime = 5 * time.Second
 )
 
-// Miss notes that an engine said it lacks a model or adapter (or, with no model, that another
+// MarkMissing notes that an engine said it lacks a model or adapter (or, with no model, that another
 // back end has its address).
-func (d *Directory) Miss(backend, model, adapter string) {
+func (d *Directory) MarkMissing(backend, model, adapter string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	until := time.Now().Add(missTime)
@@ -30,8 +30,8 @@
 	d.misses[miss{backend, model, adapter}] = until
 }
 
-// Unreachable notes that a back end took no connection.
-func (d *Directory) Unreachable(backend string) {
+// MarkUnreachable notes that a back end took no connection.
+func (d *Directory) MarkUnreachable(backend string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := miss{backend: backend}
@@ -46,8 +46,8 @@
 // maxDoublings is more than enough to reach longUnreachableTime.
 const maxDoublings = 8
 
-// Reached notes that a back end answered.
-func (d *Directory) Reached(backend string) {
+// MarkReachable notes that a back end answered.
+func (d *Directory) MarkReachable(backend string) {
 	d.mu.RLock()
 	known := d.unreachable[backend] > 0
 	d.mu.RUnlock()
@@ -70,8 +70,8 @@
 	return now.Before(d.misses[miss{backend: backend}]) || now.Before(d.misses[miss{backend, model, adapter}])
 }
 
-// Forget drops words of misses that are no longer believed. Call it now and then.
-func (d *Directory) Forget() {
+// ForgetExpired drops words of misses that are no longer believed. Call it now and then.
+func (d *Directory) ForgetExpired() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/pkg/fleet/words.go
+++ b/pkg/fleet/words.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Stamp orders the states of knowledge of the order holder's words.
-type Stamp struct {
+// Version orders the states of knowledge of the order holder's words.
+type Version struct {
 	// Term of the order lease.
 	Term int64 `json:"term,omitempty"`
 	// Sequence up to which all words under the term are known.
@@ -9,19 +9,19 @@
 }
 
 // Before tells whether s knows less than other.
-func (s Stamp) Before(other Stamp) bool {
+func (s Version) Before(other Version) bool {
 	return s.Term < other.Term || (s.Term == other.Term && s.Sequence < other.Sequence)
 }
 
-// Words is what the order holder said of engines since some stamp, up to Stamp.
-type Words struct {
-	Stamp   Stamp                `json:"stamp"`
+// Update is what the order holder said of engines since some stamp, up to Stamp.
+type Update struct {
+	Version Version              `json:"stamp"`
 	Engines map[string]Residency `json:"engines,omitempty"`
 }
 
-// Announce takes the word of the order holder, which is this process, on one engine, and numbers
+// Publish takes the word of the order holder, which is this process, on one engine, and numbers
 // it. It returns the number; 0 if the term is over.
-func (d *Directory) Announce(term int64, engine string, said Residency) int64 {
+func (d *Directory) Publish(term int64, engine string, said Residency) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.enter(term) {
@@ -34,35 +34,35 @@
 	return said.Sequence
 }
 
-// SetResidency takes single words of the order holder, beside those that come in order. Words of
+// MergeResidency takes single words of the order holder, beside those that come in order. Words of
 // an older term are dropped. What was said of an engine under an older term holds until the new
 // holder speaks of that engine.
-func (d *Directory) SetResidency(term int64, engines map[string]Residency) {
+func (d *Directory) MergeResidency(term int64, engines map[string]Residency) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.take(term, engines)
 }
 
-// Update takes all words up to a stamp, as WordsSince returns them for this directory's stamp.
-func (d *Directory) Update(words Words) {
+// Apply takes all words up to a stamp, as WordsSince returns them for this directory's stamp.
+func (d *Directory) Apply(words Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.take(words.Stamp.Term, words.Engines) {
-		d.known.Sequence = max(d.known.Sequence, words.Stamp.Sequence)
+	if d.take(words.Version.Term, words.Engines) {
+		d.known.Sequence = max(d.known.Sequence, words.Version.Sequence)
 	}
 }
 
-// WordsSince returns what was said after a stamp; nil if nothing was.
-func (d *Directory) WordsSince(known Stamp) *Words {
+// UpdateSince returns what was said after a stamp; nil if nothing was.
+func (d *Directory) UpdateSince(known Version) *Update {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if !known.Before(d.known) {
 		return nil
 	}
 	if known.Term != d.known.Term {
-		known = Stamp{Term: d.known.Term}
+		known = Version{Term: d.known.Term}
 	}
-	words := &Words{Stamp: d.known, Engines: map[string]Residency{}}
+	words := &Update{Version: d.known, Engines: map[string]Residency{}}
 	for id, said := range d.words {
 		if said.term == known.Term && said.Sequence > known.Sequence {
 			words.Engines[id] = said.Residency
@@ -71,8 +71,8 @@
 	return words
 }
 
-// Stamp tells how new the words on engines are.
-func (d *Directory) Stamp() Stamp {
+// Version tells how new the words on engines are.
+func (d *Directory) Version() Version {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.known
@@ -99,7 +99,7 @@
 		return false
 	}
 	if term > d.known.Term {
-		d.known = Stamp{Term: term}
+		d.known = Version{Term: term}
 	}
 	return true
 }
@@ -114,8 +114,8 @@
 func (d *Directory) put(engine string, said Residency) {
 	d.words[engine] = word{Residency: said, term: d.known.Term}
 	if state := d.states[engine]; state != nil {
-		next := d.join(state.Backend, state)
-		next.Listed, next.Until = state.Listed, state.Until
+		next := d.join(state.Upstream, state)
+		next.ListedAt, next.DropAt = state.ListedAt, state.DropAt
 		d.states[engine] = next
 	}
 }
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -36,9 +36,9 @@
 	// Reclaim lets a restarted process take over the lease that its own name still holds, under
 	// a higher term. Set it only where two processes never run under one name at once.
 	Reclaim bool
-	// Free tells whether this process should ask the store for the lease: what it has heard may
+	// MayBeFree tells whether this process should ask the store for the lease: what it has heard may
 	// tell that another holds it. nil means always.
-	Free func() bool
+	MayBeFree func() bool
 	// Wake has the lease looked after at once; nil leaves it to the regular times.
 	Wake <-chan struct{}
 	// Changed is called on each gain (term above 0) and loss (term 0); it must not block.
@@ -77,8 +77,8 @@
 	if config.Candidate == nil {
 		config.Candidate = func() bool { return true }
 	}
-	if config.Free == nil {
-		config.Free = func() bool { return true }
+	if config.MayBeFree == nil {
+		config.MayBeFree = func() bool { return true }
 	}
 	if config.Changed == nil {
 		config.Changed = func(int64) {}
@@ -167,7 +167,7 @@
 		l.renew(ctx, id)
 		return
 	}
-	if l.config.Candidate() && l.config.Free() {
+	if l.config.Candidate() && l.config.MayBeFree() {
 		l.take(ctx)
 	}
 }
--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -20,8 +20,8 @@
 	Keys    []string `json:"keys,omitempty"`
 }
 
-// Since returns what a copy of an older revision lacks; nil if there is nothing newer.
-func (m *Mirror) Since(revision int64) *Delta {
+// DeltaSince returns what a copy of an older revision lacks; nil if there is nothing newer.
+func (m *Mirror) DeltaSince(revision int64) *Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.Revision <= revision {
@@ -49,8 +49,8 @@
 	return delta
 }
 
-// Offer takes what another process's copy has newer, and tells whether it brought anything.
-func (m *Mirror) Offer(delta Delta) bool {
+// ApplyDelta takes what another process's copy has newer, and tells whether it brought anything.
+func (m *Mirror) ApplyDelta(delta Delta) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if delta.Revision <= m.state.Revision || delta.From > m.state.Revision {
@@ -61,13 +61,13 @@
 		return false
 	}
 	m.removals.replace(m.state, records, delta.Revision)
-	m.set(Copy{Revision: delta.Revision, Records: records, Since: m.current})
+	m.set(State{Revision: delta.Revision, Records: records, PreviousCurrentAt: m.current})
 	return true
 }
 
 // onto returns the records of a copy with the delta; false if the copy lacks some that the delta
 // counts on.
-func (d Delta) onto(copied Copy) (map[string]kv.Record, bool) {
+func (d Delta) onto(copied State) (map[string]kv.Record, bool) {
 	records := make(map[string]kv.Record, len(copied.Records)+len(d.Changed))
 	for key, record := range copied.Records {
 		records[key] = record
@@ -118,7 +118,7 @@
 }
 
 // replace notes what a newer copy, known only as a whole, lacks of an older one.
-func (r *removals) replace(old Copy, records map[string]kv.Record, revision int64) {
+func (r *removals) replace(old State, records map[string]kv.Record, revision int64) {
 	if old.Revision == 0 {
 		r.floor = revision
 		return
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -19,36 +19,36 @@
 	longPause  = time.Second
 )
 
-// Copy is the state of the prefix at one revision.
-type Copy struct {
+// State is the state of the prefix at one revision.
+type State struct {
 	// Revision of the service that the copy reflects; 0 before anything was read.
 	Revision int64                `json:"revision"`
 	Records  map[string]kv.Record `json:"records"`
-	// Since is when the copy before this one was still known to be current; what changed came
+	// PreviousCurrentAt is when the copy before this one was still known to be current; what changed came
 	// later. It is zero for the first one.
-	Since time.Time `json:"-"`
+	PreviousCurrentAt time.Time `json:"-"`
 }
 
 // Mirror follows one prefix. It is safe for concurrent use.
 type Mirror struct {
 	Store  kv.Store
 	Prefix string
-	// Changed is called with each new state, one call at a time; it must not block. The
+	// OnChange is called with each new state, one call at a time; it must not block. The
 	// records of a copy are never changed.
-	Changed func(Copy)
-	// Quiet tells how long changes are gathered before the service is asked for more: each
+	OnChange func(State)
+	// BatchDelay tells how long changes are gathered before the service is asked for more: each
 	// answer of a watch is a call that costs. nil takes no time.
-	Quiet func() time.Duration
-	// Idle is how long the service may hold a question of the watch back; see kv.Watching.
-	Idle func() time.Duration
-	// Resting tells whether the service need not be asked now, because other processes tell of its
+	BatchDelay func() time.Duration
+	// PollTimeout is how long the service may hold a question of the watch back; see kv.Watching.
+	PollTimeout func() time.Duration
+	// Paused tells whether the service need not be asked now, because other processes tell of its
 	// changes; nil asks it always.
-	Resting func() bool
-	// Reached is called when the service is lost (with the error) and regained (with nil).
-	Reached func(error)
+	Paused func() bool
+	// OnConnectivity is called when the service is lost (with the error) and regained (with nil).
+	OnConnectivity func(error)
 
 	mu    sync.Mutex
-	state Copy
+	state State
 	// heard is when the service itself last told that the state is current, and current when it
 	// was so by any source.
 	heard   time.Time
@@ -60,7 +60,7 @@
 }
 
 // State returns the latest copy.
-func (m *Mirror) State() Copy {
+func (m *Mirror) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
@@ -89,8 +89,8 @@
 	return time.Since(m.current)
 }
 
-// Vouch takes another process's word that a copy of a revision was current at some time.
-func (m *Mirror) Vouch(revision int64, current time.Time) {
+// ConfirmCurrent takes another process's word that a copy of a revision was current at some time.
+func (m *Mirror) ConfirmCurrent(revision int64, current time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.Revision >= revision && current.After(m.current) {
@@ -134,7 +134,7 @@
 	m.mu.Lock()
 	due := m.state.Revision == 0 || (m.lost && time.Since(m.tried) > lostRetry)
 	m.mu.Unlock()
-	return !due && m.Resting != nil && m.Resting()
+	return !due && m.Paused != nil && m.Paused()
 }
 
 // follow takes in changes until the service breaks off, or until it need not be asked any more.
@@ -156,7 +156,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	events, err := m.Store.Watch(ctx, kv.Watching{Prefix: m.Prefix, From: from + 1, Idle: m.Idle})
+	events, err := m.Store.Watch(ctx, kv.Watching{Prefix: m.Prefix, From: from + 1, Idle: m.PollTimeout})
 	if err != nil {
 		m.report(err)
 		return false
@@ -164,7 +164,7 @@
 	for batch := range events {
 		m.report(nil)
 		m.apply(batch)
-		if len(batch) > 0 && m.Quiet != nil && pause.For(ctx, m.Quiet()) != nil {
+		if len(batch) > 0 && m.BatchDelay != nil && pause.For(ctx, m.BatchDelay()) != nil {
 			return false
 		}
 		if m.resting() {
@@ -195,7 +195,7 @@
 		return
 	}
 	m.removals.replace(m.state, records, snapshot.Revision)
-	m.set(Copy{Revision: snapshot.Revision, Records: records, Since: since})
+	m.set(State{Revision: snapshot.Revision, Records: records, PreviousCurrentAt: since})
 }
 
 // hear notes that the service itself told of its state. The caller holds the lock.
@@ -207,7 +207,7 @@
 func (m *Mirror) apply(events []kv.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := Copy{Revision: m.state.Revision, Records: maps.Clone(m.state.Records), Since: m.current}
+	next := State{Revision: m.state.Revision, Records: maps.Clone(m.state.Records), PreviousCurrentAt: m.current}
 	m.hear()
 	if next.Records == nil {
 		next.Records = map[string]kv.Record{}
@@ -233,10 +233,10 @@
 }
 
 // set stores a state and tells of it. The caller holds the lock.
-func (m *Mirror) set(c Copy) {
+func (m *Mirror) set(c State) {
 	m.state = c
-	if m.Changed != nil {
-		m.Changed(c)
+	if m.OnChange != nil {
+		m.OnChange(c)
 	}
 }
 
@@ -245,7 +245,7 @@
 	was := m.lost
 	m.lost = err != nil
 	m.mu.Unlock()
-	if m.Reached != nil && was != (err != nil) {
-		m.Reached(err)
+	if m.OnConnectivity != nil && was != (err != nil) {
+		m.OnConnectivity(err)
 	}
 }
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -30,7 +30,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func values(c mirror.Copy) map[string]string {
+func values(c mirror.State) map[string]string {
 	all := map[string]string{}
 	for key, record := range c.Records {
 		all[key] = string(record.Value)
@@ -43,7 +43,7 @@
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			store := kv.NewMemory().Store()
-			m := &mirror.Mirror{Store: store, Quiet: func() time.Duration { return 300 * time.Millisecond }}
+			m := &mirror.Mirror{Store: store, BatchDelay: func() time.Duration { return 300 * time.Millisecond }}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { m.Run(ctx); close(done) }()
@@ -73,23 +73,23 @@
 		defer cancel()
 		Eventually(func() int { return len(peer.State().Records) }).Should(Equal(2))
 		mine := &mirror.Mirror{}
-		Expect(mine.Offer(*peer.Since(0))).To(BeTrue())
-		old := *peer.Since(0)
+		Expect(mine.ApplyDelta(*peer.DeltaSince(0))).To(BeTrue())
+		old := *peer.DeltaSince(0)
 		put(store, "a", "2")
 		record, _ := store.Get(ctx, "b")
 		Expect(store.Delete(ctx, "b", record.Revision)).To(Succeed())
 		Eventually(func() map[string]string { return values(peer.State()) }).Should(Equal(map[string]string{"a": "2"}))
-		delta := peer.Since(mine.State().Revision)
+		delta := peer.DeltaSince(mine.State().Revision)
 		Expect(delta.Changed).To(HaveLen(1))
-		Expect(mine.Offer(*delta)).To(BeTrue())
+		Expect(mine.ApplyDelta(*delta)).To(BeTrue())
 		Expect(values(mine.State())).To(Equal(map[string]string{"a": "2"}))
-		Expect(mine.Offer(old)).To(BeFalse())
-		Expect(peer.Since(peer.State().Revision)).To(BeNil())
+		Expect(mine.ApplyDelta(old)).To(BeFalse())
+		Expect(peer.DeltaSince(peer.State().Revision)).To(BeNil())
 	})
 
 	It("refuses a delta for a copy that is newer than its own", func() {
 		m := &mirror.Mirror{}
-		Expect(m.Offer(mirror.Delta{From: 5, Revision: 9, Whole: true, Keys: []string{"a"}})).To(BeFalse())
+		Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 9, Whole: true, Keys: []string{"a"}})).To(BeFalse())
 		Expect(m.State().Revision).To(BeZero())
 	})
 
@@ -105,9 +105,9 @@
 			go func() { m.Run(ctx); close(done) }()
 			synctest.Wait()
 			early := &mirror.Mirror{}
-			Expect(early.Offer(*m.Since(0))).To(BeTrue())
+			Expect(early.ApplyDelta(*m.DeltaSince(0))).To(BeTrue())
 			lagging := &mirror.Mirror{}
-			Expect(lagging.Offer(*m.Since(0))).To(BeTrue())
+			Expect(lagging.ApplyDelta(*m.DeltaSince(0))).To(BeTrue())
 			remove := func(key string) {
 				record, err := store.Get(ctx, key)
 				Expect(err).NotTo(HaveOccurred())
@@ -117,19 +117,19 @@
 			remove("b")
 			put(store, "b", "2")
 			synctest.Wait()
-			delta := m.Since(early.State().Revision)
+			delta := m.DeltaSince(early.State().Revision)
 			Expect(delta.Whole).To(BeFalse())
 			Expect(delta.Removed).To(Equal([]string{"a"}))
-			Expect(early.Offer(*delta)).To(BeTrue())
+			Expect(early.ApplyDelta(*delta)).To(BeTrue())
 			Expect(values(early.State())).To(Equal(map[string]string{"b": "2"}))
 			for n := range 1500 {
 				put(store, fmt.Sprint("k", n), "1")
 				remove(fmt.Sprint("k", n))
 			}
 			synctest.Wait()
-			delta = m.Since(lagging.State().Revision)
+			delta = m.DeltaSince(lagging.State().Revision)
 			Expect(delta.Whole).To(BeTrue())
-			Expect(lagging.Offer(*delta)).To(BeTrue())
+			Expect(lagging.ApplyDelta(*delta)).To(BeTrue())
 			Expect(values(lagging.State())).To(Equal(map[string]string{"b": "2"}))
 			cancel()
 			<-done
@@ -154,7 +154,7 @@
 			var resting atomic.Bool
 			resting.Store(true)
 			ctx, cancel := context.WithCancel(context.Background())
-			m := &mirror.Mirror{Store: counted, Resting: resting.Load}
+			m := &mirror.Mirror{Store: counted, Paused: resting.Load}
 			done := make(chan struct{})
 			go func() { m.Run(ctx); close(done) }()
 			time.Sleep(time.Second)
@@ -172,10 +172,10 @@
 			go peer.Run(peerCtx)
 			synctest.Wait()
 			stopPeer()
-			Expect(m.Offer(*peer.Since(m.State().Revision))).To(BeTrue())
-			m.Vouch(peer.State().Revision, time.Now())
+			Expect(m.ApplyDelta(*peer.DeltaSince(m.State().Revision))).To(BeTrue())
+			m.ConfirmCurrent(peer.State().Revision, time.Now())
 			Expect(m.Staleness()).To(BeZero())
-			m.Vouch(peer.State().Revision+1, time.Now().Add(time.Hour))
+			m.ConfirmCurrent(peer.State().Revision+1, time.Now().Add(time.Hour))
 			Expect(m.Staleness()).To(BeZero())
 			put(store, "b", "1")
 			resting.Store(false)
--- a/pkg/residency/adapters.go
+++ b/pkg/residency/adapters.go
@@ -215,11 +215,11 @@
 	return true
 }
 
-// Use is what runs with an adapter on an engine.
-type Use struct {
-	Backend string `json:"b"`
-	Model   string `json:"m"`
-	Adapter string `json:"a"`
+// AdapterUse is what runs with an adapter on an engine.
+type AdapterUse struct {
+	Upstream string `json:"b"`
+	Model    string `json:"m"`
+	Adapter  string `json:"a"`
 	// Running requests.
 	Running int `json:"r,omitempty"`
 }
@@ -230,34 +230,34 @@
 	defer c.mu.Unlock()
 	total := 0
 	for use, running := range c.uses {
-		if use.Backend == backend && use.Model == model {
+		if use.Upstream == backend && use.Model == model {
 			total += running
 		}
 	}
 	return total
 }
 
-// Used takes what all machines have running with adapters, so that the one unused longest gives
+// SetAdapterUses takes what all machines have running with adapters, so that the one unused longest gives
 // way and none that is in use.
-func (c *Controller) Used(uses []Use) {
+func (c *Controller) SetAdapterUses(uses []AdapterUse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	running := make(map[Use]int, len(uses))
+	running := make(map[AdapterUse]int, len(uses))
 	for _, use := range uses {
-		running[Use{Backend: use.Backend, Model: use.Model, Adapter: use.Adapter}] += use.Running
+		running[AdapterUse{Upstream: use.Upstream, Model: use.Model, Adapter: use.Adapter}] += use.Running
 	}
 	changed := maps.Clone(running)
 	maps.Copy(changed, c.uses)
 	c.uses = running
 	for use := range changed {
-		if e := c.engines[use.Backend]; e != nil {
+		if e := c.engines[use.Upstream]; e != nil {
 			e.use(use, running[use], now)
 		}
 	}
 }
 
-func (e *engine) use(use Use, running int, now time.Time) {
+func (e *engine) use(use AdapterUse, running int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if state := e.adapters[adapterKey{use.Model, use.Adapter}]; state != nil {
--- a/pkg/residency/bench_test.go
+++ b/pkg/residency/bench_test.go
@@ -22,7 +22,7 @@
 			}
 			for n := range size.engines {
 				in.Engines = append(in.Engines, residency.PlanEngine{
-					ID: fmt.Sprint("e", n), Zone: fmt.Sprint("z", n%4), Usable: true,
+					ID: fmt.Sprint("e", n), Hall: fmt.Sprint("z", n%4), Usable: true,
 					Models: []string{fmt.Sprint("m", n%size.models), fmt.Sprint("m", (3*n+1)%size.models), fmt.Sprint("m", (5*n+2)%size.models)},
 				})
 			}
--- a/pkg/residency/controller.go
+++ b/pkg/residency/controller.go
@@ -26,9 +26,9 @@
 	NotBefore func(engine string) time.Time
 	// Running tells how many requests are under way at a back end.
 	Running func(backend string) int
-	// Silent tells whether nobody gets an answer from a back end lately; nil takes none for that.
-	Silent func(backend string) bool
-	Demand *Demand
+	// Unresponsive tells whether nobody gets an answer from a back end lately; nil takes none for that.
+	Unresponsive func(backend string) bool
+	Demand       *Demand
 	// MoveCost is what a load must gain at least, in squared engine time.
 	MoveCost float64
 	// PlanInterval is the time between plans; 0 takes 200 ms.
@@ -53,7 +53,7 @@
 	// lastOrders is when each engine was last given an order, under any term.
 	lastOrders map[string]time.Time
 	// uses is what all machines have running with adapters.
-	uses map[Use]int
+	uses map[AdapterUse]int
 	// loads bounds the loads from the weight store, and planned counts those that were planned
 	// and have not been ordered yet.
 	loads   *rate.Limiter
@@ -115,7 +115,7 @@
 	c.engines = map[string]*engine{}
 	c.missed = map[ModelKey]time.Time{}
 	c.coming = map[ModelKey]time.Time{}
-	c.uses = map[Use]int{}
+	c.uses = map[AdapterUse]int{}
 	c.loads = nil
 	c.planned = 0
 }
@@ -281,7 +281,7 @@
 
 // silent tells whether nobody gets an answer from a back end lately.
 func (c *Controller) silent(backend string) bool {
-	return c.Silent != nil && c.Silent(backend)
+	return c.Unresponsive != nil && c.Unresponsive(backend)
 }
 
 // wantModel notes that a model is asked for which nobody holds, and tells when it will be there.
@@ -309,7 +309,7 @@
 	// An older state of the engine must not follow a newer one.
 	e.announcing.Lock()
 	defer e.announcing.Unlock()
-	sequence := c.Directory.Announce(term, e.id, e.residency())
+	sequence := c.Directory.Publish(term, e.id, e.residency())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sequence = sequence
--- a/pkg/residency/controller_test.go
+++ b/pkg/residency/controller_test.go
@@ -106,7 +106,7 @@
 func (f *fakeEngine) report() residency.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	report := residency.Report{Busy: f.busy, Taken: f.taken}
+	report := residency.Report{Busy: f.busy, OrderCount: f.taken}
 	for model, adapters := range f.models {
 		report.Models = append(report.Models, fleet.Holding{Model: model, Adapters: slices.Clone(adapters)})
 	}
@@ -158,9 +158,9 @@
 // list tells the directory what the engines hold.
 func (w *world) list() {
 	w.revision++
-	var list []fleet.Backend
+	var list []fleet.Upstream
 	for id, engine := range w.engines {
-		list = append(list, fleet.Backend{ID: id, Service: "s", Zone: id, Slots: 8, Models: engine.report().Models, Revision: w.revision})
+		list = append(list, fleet.Upstream{ID: id, Service: "s", Hall: id, Slots: 8, Models: engine.report().Models, Revision: w.revision})
 	}
 	w.directory.SetList(w.revision, list, time.Time{})
 }
@@ -172,7 +172,7 @@
 }
 
 // order passes an order on, or loses it, its answer, or has it done late.
-func (w *world) order(ctx context.Context, to fleet.Backend, order residency.Order) (residency.Result, error) {
+func (w *world) order(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
 	engine := w.engines[to.ID]
 	if w.draw() >= w.faults {
 		return engine.order(order), nil
@@ -188,7 +188,7 @@
 	return residency.Unanswered, errLost
 }
 
-func (w *world) report(_ context.Context, of fleet.Backend) (residency.Report, error) {
+func (w *world) report(_ context.Context, of fleet.Upstream) (residency.Report, error) {
 	return w.engines[of.ID].report(), nil
 }
 
@@ -221,7 +221,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			asked++
-			if ensured.Backend != "" {
+			if ensured.Upstream != "" {
 				served++
 			}
 		})
@@ -280,7 +280,7 @@
 				defer cancel()
 				ensured, err := w.controller.Ensure(ctx, "s", "m0", adapter)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(ensured.Backend).To(Equal("e0"))
+				Expect(ensured.Upstream).To(Equal("e0"))
 				return time.Since(begun)
 			}
 			for n := range adapterSlots {
@@ -303,7 +303,7 @@
 			// The stuck engine has nothing running, the other one does: it is chosen first.
 			w.controller.Running = func(backend string) int { return map[string]int{"e1": 5}[backend] }
 			asked := map[string]int{}
-			w.controller.Engines.Order = func(ctx context.Context, to fleet.Backend, order residency.Order) (residency.Result, error) {
+			w.controller.Engines.Order = func(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
 				w.mu.Lock()
 				asked[to.ID]++
 				w.mu.Unlock()
@@ -319,7 +319,7 @@
 				defer cancel()
 				ensured, err := w.controller.Ensure(ctx, "s", "m0", adapter)
 				Expect(err).NotTo(HaveOccurred())
-				return ensured.Backend, time.Since(begun)
+				return ensured.Upstream, time.Since(begun)
 			}
 			backend, took := ensure("a0")
 			Expect(backend).To(Equal("e1"))
@@ -343,7 +343,7 @@
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			w := newWorld(1, 0)
-			w.controller.Silent = func(backend string) bool { return backend == "e0" }
+			w.controller.Unresponsive = func(backend string) bool { return backend == "e0" }
 			_, err := w.controller.Ensure(context.Background(), "s", "m0", "a0")
 			Expect(err).To(MatchError(residency.ErrNoPlace))
 			ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/residency/engine.go
+++ b/pkg/residency/engine.go
@@ -200,7 +200,7 @@
 		return Refused, ErrWaiting
 	}
 	order.Holder, order.Term = e.controller.Holder, term
-	result, err := e.controller.Engines.Order(callCtx, state.Backend, order)
+	result, err := e.controller.Engines.Order(callCtx, state.Upstream, order)
 	if err != nil {
 		e.doubt()
 	}
@@ -242,7 +242,7 @@
 	if state == nil {
 		return ErrFailed
 	}
-	report, err := e.ask(ctx, state.Backend)
+	report, err := e.ask(ctx, state.Upstream)
 	if err != nil {
 		return err
 	}
@@ -257,10 +257,10 @@
 func (e *engine) adopt(report Report) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.taken, e.known = report.Taken, true
+	e.taken, e.known = report.OrderCount, true
 	e.controller.Log.Info("engine told",
 		zap.String("engine", e.id),
-		zap.Int64("taken", report.Taken),
+		zap.Int64("taken", report.OrderCount),
 		zap.Any("models", report.Models),
 		zap.Duration("lastOrder", time.Since(e.lastOrder)))
 	e.adoptModels(report)
--- a/pkg/residency/ensure.go
+++ b/pkg/residency/ensure.go
@@ -13,8 +13,8 @@
 
 // Ensured tells where what was asked for is, or when it will be.
 type Ensured struct {
-	// Backend has it now; empty if none does yet.
-	Backend string `json:"backend,omitempty"`
+	// Upstream has it now; empty if none does yet.
+	Upstream string `json:"backend,omitempty"`
 	// Residency of that engine.
 	Residency fleet.Residency `json:"residency,omitzero"`
 	Term      int64           `json:"term,omitempty"`
@@ -42,7 +42,7 @@
 	}
 	target, err := c.page(ctx, service, pool, adapterKey{model, adapter})
 	if target != nil {
-		return Ensured{Backend: target.id, Residency: target.residency(), Term: term}, nil
+		return Ensured{Upstream: target.id, Residency: target.residency(), Term: term}, nil
 	}
 	if errors.Is(err, ErrNoPlace) {
 		c.Demand.Note(map[ModelKey]float64{{service, model}: crowdedWork}, time.Now())
--- a/pkg/residency/moves.go
+++ b/pkg/residency/moves.go
@@ -41,7 +41,7 @@
 		zap.String("reason", move.Reason),
 		zap.Strings("held", move.Held),
 		zap.Float64("demand", move.Demand),
-		zap.Int("copies", move.Copies),
+		zap.Int("copies", move.Replicas),
 		zap.Float64("gain", move.Gain))
 	e.change(func() {
 		e.loading = move.Model
@@ -205,7 +205,7 @@
 			return true
 		}
 		if time.Now().After(ask) {
-			report, err := e.ask(ctx, state.Backend)
+			report, err := e.ask(ctx, state.Upstream)
 			if err == nil && !report.Busy && done(holds(report.Models, model)) {
 				return true
 			}
@@ -220,7 +220,7 @@
 	}
 }
 
-func (e *engine) ask(ctx context.Context, of fleet.Backend) (Report, error) {
+func (e *engine) ask(ctx context.Context, of fleet.Upstream) (Report, error) {
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	return e.controller.Engines.Report(callCtx, of)
--- a/pkg/residency/orders.go
+++ b/pkg/residency/orders.go
@@ -72,16 +72,16 @@
 	Models []fleet.Holding
 	// Busy tells that an order is under way.
 	Busy bool
-	// Taken is the number of orders that the engine has taken.
-	Taken int64
+	// OrderCount is the number of orders that the engine has taken.
+	OrderCount int64
 }
 
 // Engines is the port to the engines.
 type Engines struct {
 	// Order gives one order, once. An order that certainly was not sent is Conflict with the error.
-	Order func(ctx context.Context, to fleet.Backend, order Order) (Result, error)
+	Order func(ctx context.Context, to fleet.Upstream, order Order) (Result, error)
 	// Report asks an engine what it holds.
-	Report func(ctx context.Context, of fleet.Backend) (Report, error)
+	Report func(ctx context.Context, of fleet.Upstream) (Report, error)
 }
 
 // Kinds of failure.
--- a/pkg/residency/plan.go
+++ b/pkg/residency/plan.go
@@ -18,8 +18,8 @@
 	// Held are the models of the engine, and Demand is the model's, as the plan saw them.
 	Held   []string
 	Demand float64
-	// Copies that the model had.
-	Copies int
+	// Replicas that the model had.
+	Replicas int
 	// Gain is how much the sum of the engines' squared work falls.
 	Gain float64
 }
@@ -27,7 +27,7 @@
 // PlanEngine is an engine as the planner sees it.
 type PlanEngine struct {
 	ID   string
-	Zone string
+	Hall string
 	// Models that it holds, but for those it is unloading.
 	Models []string
 	// Fresh models were loaded so lately that they stay.
@@ -42,12 +42,12 @@
 	Usable bool
 	// Leaving engines' copies count for nothing, nor do those of Silent ones, which nobody gets an
 	// answer from.
-	Leaving bool
-	Silent  bool
+	Leaving      bool
+	Unresponsive bool
 }
 
 // counts tells whether the engine's copies serve anybody.
-func (e PlanEngine) counts() bool { return !e.Leaving && !e.Silent }
+func (e PlanEngine) counts() bool { return !e.Leaving && !e.Unresponsive }
 
 // PlanModel is a model as the planner sees it.
 type PlanModel struct {
@@ -214,7 +214,7 @@
 	}
 	p.copies[model] += by
 	if p.zones[model] != nil {
-		p.zones[model][e.Zone] += by
+		p.zones[model][e.Hall] += by
 	}
 }
 
@@ -223,7 +223,7 @@
 	e := p.byID[move.Engine]
 	move.Held = slices.Clone(e.Models)
 	move.Demand = p.models[move.Model].Demand
-	move.Copies = p.copies[move.Model]
+	move.Replicas = p.copies[move.Model]
 	for _, name := range move.Evict {
 		e.Models = slices.DeleteFunc(e.Models, func(held string) bool { return held == name })
 		if model := p.models[name]; model != nil {
--- a/pkg/residency/plan_test.go
+++ b/pkg/residency/plan_test.go
@@ -55,8 +55,8 @@
 	It("adds copies of what is busy and takes spare ones of what is not", func() {
 		in := planInput()
 		in.Engines = []residency.PlanEngine{
-			{ID: "e1", Zone: "z1", Usable: true, Models: []string{"busy", "quiet", "x"}},
-			{ID: "e2", Zone: "z2", Usable: true, Models: []string{"quiet", "y", "z"}},
+			{ID: "e1", Hall: "z1", Usable: true, Models: []string{"busy", "quiet", "x"}},
+			{ID: "e2", Hall: "z2", Usable: true, Models: []string{"quiet", "y", "z"}},
 		}
 		in.Models = []residency.PlanModel{planModel("busy", 1.2), planModel("quiet", 0), planModel("x", 0), planModel("y", 0), planModel("z", 0)}
 		moves := residency.Plan(in)
@@ -132,7 +132,7 @@
 			}
 			held := map[string]int{}
 			for n := range rapid.IntRange(1, 6).Draw(t, "engines") {
-				e := residency.PlanEngine{ID: fmt.Sprint("e", n), Zone: fmt.Sprint("z", n%2), Usable: rapid.Bool().Draw(t, "usable"), Leaving: rapid.Bool().Draw(t, "leaving")}
+				e := residency.PlanEngine{ID: fmt.Sprint("e", n), Hall: fmt.Sprint("z", n%2), Usable: rapid.Bool().Draw(t, "usable"), Leaving: rapid.Bool().Draw(t, "leaving")}
 				free := in.Megabytes
 				for m := range models {
 					name := fmt.Sprint("m", m)
--- a/pkg/residency/view.go
+++ b/pkg/residency/view.go
@@ -52,11 +52,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	view := PlanEngine{
-		ID:      state.ID,
-		Zone:    state.Zone,
-		Usable:  e.known && e.mayOrder() && e.loading == "" && e.unloading == "" && len(e.withdrawn) == 0 && time.Now().After(e.coolUntil),
-		Leaving: state.Leaving,
-		Silent:  e.controller.silent(state.ID),
+		ID:           state.ID,
+		Hall:         state.Hall,
+		Usable:       e.known && e.mayOrder() && e.loading == "" && e.unloading == "" && len(e.withdrawn) == 0 && time.Now().After(e.coolUntil),
+		Leaving:      state.Leaving,
+		Unresponsive: e.controller.silent(state.ID),
 	}
 	e.reconcile(state)
 	for _, model := range e.held(state) {
@@ -81,7 +81,7 @@
 // lastHeld is when the engine last held each model, by the list and by its own word. The caller
 // holds the lock.
 func (e *engine) lastHeld(state *fleet.State) map[string]time.Time {
-	last := e.controller.Directory.Disk(state.Backend)
+	last := e.controller.Directory.ModelsOnDisk(state.Upstream)
 	if last == nil {
 		last = map[string]time.Time{}
 	}
--- a/pkg/residency/weigh.go
+++ b/pkg/residency/weigh.go
@@ -106,12 +106,12 @@
 		}
 		gain += e.work*e.work - after*after
 	}
-	if p.zones[model.Name][target.Zone] == 0 {
+	if p.zones[model.Name][target.Hall] == 0 {
 		gain += zoneGain * model.Demand
 	}
 	for _, name := range evict {
 		described := p.models[name]
-		if described != nil && p.zones[name][target.Zone] == 1 {
+		if described != nil && p.zones[name][target.Hall] == 1 {
 			gain -= zoneGain * described.Demand
 		}
 	}
