--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -7,7 +7,6 @@
 	"io"
 	"os"
 	"os/signal"
-	"reflect"
 	"strings"
 	"syscall"
 
@@ -128,23 +127,3 @@
 func variable(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
-
-// SettingsTable lists the flags of serve as a table for the page of settings.
-func SettingsTable() string { return settingsTable(reflect.TypeFor[serveCommand]()) }
-
-// NodeSettingsTable lists the flags of node as a table for the page of settings.
-func NodeSettingsTable() string { return settingsTable(reflect.TypeFor[nodeCommand]()) }
-
-func settingsTable(command reflect.Type) string {
-	var table strings.Builder
-	table.WriteString("| flag | variable | default | meaning |\n| --- | --- | --- | --- |\n")
-	for i := range command.NumField() {
-		tag := command.Field(i).Tag
-		initial := tag.Get("default")
-		if initial != "" {
-			initial = "`" + initial + "`"
-		}
-		fmt.Fprintf(&table, "| `--%s` | `%s` | %s | %s |\n", tag.Get("name"), tag.Get("env"), initial, tag.Get("help"))
-	}
-	return table.String()
-}
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -19,7 +19,6 @@
 	"ospreymoor.example/ospreymoor/pkg/logfield"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/residency"
-	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
 // Config is all that one machine needs.
@@ -210,6 +209,3 @@
 func (n *Node) Ready() bool {
 	return !n.leaving.Load() && n.Gateway.Table() != nil && n.Gateway.Directory.Revision() > 0
 }
-
-// Table returns the configuration in force, or nil.
-func (n *Node) Table() *routes.Table { return n.Gateway.Table() }
--- a/internal/gateway/ports.go
+++ b/internal/gateway/upstreams.go
@@ -8,9 +8,7 @@
 	"github.com/juju/errors"
 
 	"ospreymoor.example/ospreymoor/pkg/fleet"
-	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/residency"
-	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
 // Kinds of failure of one attempt.
@@ -43,17 +41,3 @@
 	// Engines takes the orders.
 	Engines residency.Engines
 }
-
-// Platform is the port to what the platform tells.
-type Platform struct {
-	Store kv.Store
-	// ConfigPrefix and BackendPrefix are the keys that the platform writes; OwnPrefix those that
-	// this program does.
-	ConfigPrefix   string
-	UpstreamPrefix string
-	OwnPrefix      string
-	// DecodeTable decodes the configuration; nil without an error if there is none.
-	DecodeTable func(records map[string]kv.Record) (*routes.Table, error)
-	// DecodeUpstream decodes one entry of the list of back ends.
-	DecodeUpstream func(record kv.Record) (fleet.Upstream, error)
-}
--- a/pkg/kv/document_test.go
+++ b/pkg/kv/document_test.go
@@ -15,6 +15,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/kv/kvtest"
 )
 
 // listSize is how many elements the test's list takes.
@@ -45,13 +46,13 @@
 }
 
 // chaos picks fates at random, the same for the same seed.
-func chaos(seed uint64) func(string) kv.Fate {
+func chaos(seed uint64) func(string) kvtest.Fate {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
-	return func(string) kv.Fate {
+	return func(string) kvtest.Fate {
 		mu.Lock()
 		defer mu.Unlock()
-		fate := kv.Fate{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
+		fate := kvtest.Fate{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
 		switch random.IntN(10) {
 		case 0:
 			fate.Refused = true
@@ -86,7 +87,7 @@
 func runWriters(seed uint64, guard bool) (history []porcupine.Operation, final []string) {
 	bubble(func() {
 		memory := kv.NewMemory().Store()
-		store := kv.Faulty(memory, chaos(seed))
+		store := kvtest.Faulty(memory, chaos(seed))
 		if !guard {
 			store = forgetful(store)
 		}
--- a/pkg/kv/faults.go
+++ b/pkg/kv/kvtest/kvtest.go
@@ -1,10 +1,13 @@
-package kv
+// Package kvtest wraps a key-value store so that tests can delay, refuse and lose its calls.
+package kvtest
 
 import (
 	"context"
 	"time"
 
 	"github.com/juju/errors"
+
+	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
 // Fate is what befalls one call of a faulty store.
@@ -23,34 +26,34 @@
 
 // Faulty returns store with the fates that choose picks for its swaps and reads, for tests of
 // what is built on a Store. choose gets "get", "list" or "swap".
-func Faulty(store Store, choose func(call string) Fate) Store {
+func Faulty(store kv.Store, choose func(call string) Fate) kv.Store {
 	faulty := store
-	faulty.Get = func(ctx context.Context, key string) (Record, error) {
+	faulty.Get = func(ctx context.Context, key string) (kv.Record, error) {
 		if err := readFate(ctx, choose("get")); err != nil {
-			return Record{}, err
+			return kv.Record{}, err
 		}
 		return store.Get(ctx, key)
 	}
-	faulty.List = func(ctx context.Context, prefix string) ([]Record, error) {
+	faulty.List = func(ctx context.Context, prefix string) ([]kv.Record, error) {
 		if err := readFate(ctx, choose("list")); err != nil {
 			return nil, err
 		}
 		return store.List(ctx, prefix)
 	}
-	faulty.Swap = func(ctx context.Context, swap Swap) (Record, error) {
+	faulty.Swap = func(ctx context.Context, swap kv.Swap) (kv.Record, error) {
 		fate := choose("swap")
 		if !wait(ctx, fate.Delay) || fate.Lost {
-			return Record{}, errors.Annotate(ErrUnknown, "swap lost")
+			return kv.Record{}, errors.Annotate(kv.ErrUnknown, "swap lost")
 		}
 		switch {
 		case fate.Refused:
-			return Record{}, errors.Annotate(ErrUnavailable, "swap refused")
+			return kv.Record{}, errors.Annotate(kv.ErrUnavailable, "swap refused")
 		case fate.AnswerLost:
 			_, _ = store.Swap(ctx, swap)
-			return Record{}, errors.Annotate(ErrUnknown, "answer lost")
+			return kv.Record{}, errors.Annotate(kv.ErrUnknown, "answer lost")
 		case fate.Late > 0:
 			time.AfterFunc(fate.Late, func() { _, _ = store.Swap(context.WithoutCancel(ctx), swap) })
-			return Record{}, errors.Annotate(ErrUnknown, "swap late")
+			return kv.Record{}, errors.Annotate(kv.ErrUnknown, "swap late")
 		}
 		return store.Swap(ctx, swap)
 	}
@@ -59,7 +62,7 @@
 
 func readFate(ctx context.Context, fate Fate) error {
 	if !wait(ctx, fate.Delay) || fate.Refused || fate.Lost || fate.AnswerLost || fate.Late > 0 {
-		return errors.Annotate(ErrUnavailable, "read failed")
+		return errors.Annotate(kv.ErrUnavailable, "read failed")
 	}
 	return nil
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -13,6 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/kv/kvtest"
 	"ospreymoor.example/ospreymoor/pkg/lease"
 )
 
@@ -74,21 +75,21 @@
 	random := rand.New(rand.NewPCG(seed, uint64(contender)))
 	var mu sync.Mutex
 	var cutUntil time.Time
-	choose := func(string) kv.Fate {
+	choose := func(string) kvtest.Fate {
 		mu.Lock()
 		defer mu.Unlock()
 		if time.Now().After(cutUntil) && random.IntN(25) == 0 {
 			cutUntil = time.Now().Add(time.Duration(random.IntN(15000)) * time.Millisecond)
 		}
 		if time.Now().Before(cutUntil) {
-			return kv.Fate{Lost: true, Delay: 500 * time.Millisecond}
+			return kvtest.Fate{Lost: true, Delay: 500 * time.Millisecond}
 		}
-		return kv.Fate{
+		return kvtest.Fate{
 			Delay:      time.Duration(random.IntN(200)) * time.Millisecond,
 			AnswerLost: random.IntN(10) == 0,
 		}
 	}
-	store := kv.Faulty(memory, choose)
+	store := kvtest.Faulty(memory, choose)
 	renew := memory.Renew
 	store.Renew = func(ctx context.Context, id kv.LeaseID) error {
 		fate := choose("renew")
