--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -12,7 +12,10 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
+var suiteT *testing.T
+
 func TestDispatch(t *testing.T) {
+	suiteT = t
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "Dispatch")
 }
--- /dev/null
+++ b/pkg/dispatch/health_test.go
@@ -0,0 +1,117 @@
+package dispatch_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/pkg/dispatch"
+)
+
+// bubble runs a spec on the runtime's fake clock.
+func bubble(spec func()) {
+	synctest.Test(suiteT, func(*testing.T) {
+		defer GinkgoRecover()
+		spec()
+	})
+}
+
+// ejections follows how long e0, the only upstream with free slots, is left out.
+type ejections struct {
+	tracker *dispatch.LoadTracker
+	chooser *dispatch.Chooser
+}
+
+func newEjections() *ejections {
+	tracker := dispatch.NewLoadTracker()
+	full := dispatch.Load{Running: 8}
+	tracker.SetRemoteLoads(map[string]dispatch.Load{"e1": full, "e2": full, "e3": full})
+	return &ejections{tracker: tracker, chooser: &dispatch.Chooser{Loads: tracker, Hall: "z"}}
+}
+
+// fail has requests to e0 fail while those to the others succeed.
+func (e *ejections) fail(times int) {
+	for range times {
+		e.tracker.RecordOutcome("e0", false)
+		for _, id := range []string{"e1", "e2", "e3"} {
+			e.tracker.RecordOutcome(id, true)
+		}
+	}
+}
+
+func (e *ejections) ejected() bool {
+	choice, ok := e.chooser.Choose(dispatch.Requirements{Service: "s"}, engines(4))
+	Expect(ok).To(BeTrue())
+	return choice.Upstream.ID != "e0"
+}
+
+// expectFor checks that e0 is ejected now and for the time given, and no longer.
+func (e *ejections) expectFor(length time.Duration) {
+	Expect(e.ejected()).To(BeTrue())
+	time.Sleep(length - time.Millisecond)
+	Expect(e.ejected()).To(BeTrue())
+	time.Sleep(2 * time.Millisecond)
+	Expect(e.ejected()).To(BeFalse())
+}
+
+var _ = Describe("outlier ejection", func() {
+	It("doubles with each ejection up to its bound, and is short again after a while without failures", func() {
+		bubble(func() {
+			e := newEjections()
+			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
+				e.fail(12)
+				e.expectFor(length)
+			}
+			time.Sleep(10 * time.Second)
+			e.fail(12)
+			e.expectFor(2 * time.Second)
+		})
+	})
+
+	It("needs several outcomes", func() {
+		bubble(func() {
+			e := newEjections()
+			e.fail(3)
+			Expect(e.ejected()).To(BeFalse())
+			e.fail(1)
+			Expect(e.ejected()).To(BeTrue())
+		})
+	})
+})
+
+var _ = Describe("an upstream that does not answer", func() {
+	It("is unresponsive after several failures in a row over a while, until one succeeds", func() {
+		bubble(func() {
+			tracker := dispatch.NewLoadTracker()
+			Expect(tracker.Unresponsive("e0")).To(BeFalse())
+			for range 5 {
+				tracker.RecordOutcome("e0", false)
+			}
+			Expect(tracker.Unresponsive("e0")).To(BeFalse())
+			time.Sleep(300 * time.Millisecond)
+			Expect(tracker.Unresponsive("e0")).To(BeFalse())
+			tracker.RecordOutcome("e0", false)
+			Expect(tracker.Unresponsive("e0")).To(BeTrue())
+			tracker.RecordOutcome("e0", true)
+			Expect(tracker.Unresponsive("e0")).To(BeFalse())
+		})
+	})
+
+	It("is so for peers that only heard of the failures, and is forgotten after a while without", func() {
+		bubble(func() {
+			tracker := dispatch.NewLoadTracker()
+			failures := dispatch.Observations{Outcomes: map[string]dispatch.Outcomes{"e0": {Failed: 2}}}
+			tracker.MergeObservations(failures)
+			time.Sleep(300 * time.Millisecond)
+			tracker.MergeObservations(failures)
+			Expect(tracker.Unresponsive("e0")).To(BeTrue())
+			time.Sleep(4*time.Second - time.Millisecond)
+			Expect(tracker.Unresponsive("e0")).To(BeTrue())
+			time.Sleep(time.Millisecond)
+			Expect(tracker.Unresponsive("e0")).To(BeFalse())
+		})
+	})
+})
