--- a/pkg/dispatch/book.go
+++ b/pkg/dispatch/book.go
@@ -325,15 +325,6 @@
 	}
 }
 
-// Unloaded drops the prompts that an engine kept, after it unloaded a model or restarted.
-func (b *LoadTracker) Unloaded(backend string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if entry := b.backends[backend]; entry != nil {
-		entry.cache = nil
-	}
-}
-
 // SetRemoteLoads takes what all other processes have under way at the back ends.
 func (b *LoadTracker) SetRemoteLoads(loads map[string]Load) {
 	b.mu.Lock()
--- a/pkg/dispatch/choose.go
+++ b/pkg/dispatch/choose.go
@@ -35,8 +35,6 @@
 	Uncached int
 	// Load of the back end as it was known.
 	Load Load
-	// Full tells that the back end has no free place or memory now.
-	Full bool
 }
 
 // Times that the prediction goes by: those of an engine of 70 billion parameters. What an
@@ -112,15 +110,16 @@
 func (c *Chooser) predict(need Requirements, state *fleet.State, entry *backendBook) Choice {
 	load := c.Loads.total(state.ID, entry)
 	choice := Choice{Upstream: state, Load: load}
+	full := false
 	if need.Model == "" {
-		choice.Full = state.Slots > 0 && load.Running >= state.Slots
+		full = state.Slots > 0 && load.Running >= state.Slots
 		perSlot := float64(load.Running) / float64(max(1, state.Slots))
 		choice.Wait = time.Duration(perSlot * perSlot * float64(plainWait))
 	} else {
-		c.predictEngine(need, state, entry, load, &choice)
+		full = c.predictEngine(need, state, entry, load, &choice)
 	}
 	choice.Wait = time.Duration(float64(choice.Wait) * entry.slowness)
-	if choice.Full {
+	if full {
 		choice.Wait += fullPenalty
 	}
 	if state.Hall != c.Hall {
@@ -132,7 +131,7 @@
 // plainWait is the wait expected at a plain service whose places are all taken.
 const plainWait = 60 * time.Millisecond
 
-func (c *Chooser) predictEngine(need Requirements, state *fleet.State, entry *backendBook, load Load, choice *Choice) {
+func (c *Chooser) predictEngine(need Requirements, state *fleet.State, entry *backendBook, load Load, choice *Choice) (full bool) {
 	entry.capacity = int(keptShare * float64(need.CacheTokens))
 	kept := 0
 	if entry.cache != nil {
@@ -144,7 +143,7 @@
 	step := stepTime + time.Duration(load.Running)*stepTimePerRunning
 	choice.Wait = time.Duration(c.Loads.paceOf(need.Model)*float64(work)) + step
 	memory := load.Tokens + need.PromptTokens + need.AnswerTokens
-	choice.Full = (state.Slots > 0 && load.Running >= state.Slots) ||
+	return (state.Slots > 0 && load.Running >= state.Slots) ||
 		(need.CacheTokens > 0 && float64(memory) > memoryFull*float64(need.CacheTokens))
 }
 
