--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/ejection.go
@@ -1,6 +1,22 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+
+	"ospreymoor.example/ospreymoor/pkg/fleet"
+)
+
+// usualFailures is the middle share of failures of the candidates. The caller holds the lock.
+func (b *LoadTracker) usualFailures(candidates []*fleet.State) float64 {
+	least, sum := 1.0, 0.0
+	for _, state := range candidates {
+		failures := b.of(state.ID).health.failures
+		least = min(least, failures)
+		sum += failures
+	}
+	// Between the best and the mean, so that one bad back end of a few does not hide itself.
+	return (least + sum/float64(len(candidates))) / 2
+}
 
 const (
 	// verdictWeight is that of a new verdict in the running mean of failures.
@@ -29,32 +45,6 @@
 	firstBad, lastBad time.Time
 }
 
-const (
-	// silentVerdicts failures in a row, over at least silentTime, have a back end taken for gone;
-	// that is forgotten when none came for silentMemory.
-	silentVerdicts = 3
-	silentTime     = 300 * time.Millisecond
-	silentMemory   = 4 * time.Second
-)
-
-// silent tells whether nobody got an answer from the back end lately, though several tried.
-func (h *health) silent(now time.Time) bool {
-	return h.bad >= silentVerdicts && h.lastBad.Sub(h.firstBad) >= silentTime && now.Sub(h.lastBad) < silentMemory
-}
-
-// count follows the failures in a row.
-func (h *health) count(good bool, now time.Time) {
-	if good {
-		h.bad = 0
-		return
-	}
-	if h.bad == 0 || now.Sub(h.lastBad) >= silentMemory {
-		h.bad, h.firstBad = 0, now
-	}
-	h.bad++
-	h.lastBad = now
-}
-
 func (h *health) note(good bool) {
 	h.count(good, time.Now())
 	h.verdicts++
--- a/pkg/dispatch/choose.go
+++ b/pkg/dispatch/prediction.go
@@ -1,15 +1,23 @@
 package dispatch
 
 import (
-	"encoding/binary"
-	"math/rand/v2"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
+// Work estimates the engine time that a request costs.
+func (b *LoadTracker) Work(need Requirements, uncached int) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	work := prefillTime(uncached) + time.Duration(need.AnswerTokens)*answerTokenTime
+	return time.Duration(float64(work) * b.paceOf(need.Model))
+}
+
+// answerTokenTime is the engine time of one token of an answer, which shares its step with
+// those of other requests.
+const answerTokenTime = 150 * time.Microsecond
+
 // Requirements is what a request asks of a back end.
 type Requirements struct {
 	Service string
@@ -60,53 +68,6 @@
 	failurePenalty = 400 * time.Millisecond
 )
 
-// Chooser picks back ends by the book's loads.
-type Chooser struct {
-	Loads *LoadTracker
-	// Hall of this process.
-	Hall string
-}
-
-// Choose returns the best of the candidates; ok is false if there is none. Back ends that fail
-// a lot are taken only if there are no others.
-func (c *Chooser) Choose(need Requirements, candidates []*fleet.State) (best Choice, ok bool) {
-	if len(candidates) == 0 {
-		return Choice{}, false
-	}
-	c.Loads.mu.Lock()
-	defer c.Loads.mu.Unlock()
-	now := time.Now()
-	usual := c.Loads.usualFailures(candidates)
-	home := homeOf(need, candidates)
-	bestScore := time.Duration(0)
-	bestEjected := false
-	for _, state := range candidates {
-		entry := c.Loads.of(state.ID)
-		ejected := entry.health.ejected(usual, now)
-		choice := c.predict(need, state, entry)
-		score := c.score(choice, entry, state.ID == home, usual)
-		better := !ok || (bestEjected && !ejected) || (bestEjected == ejected && score < bestScore)
-		if better {
-			best, bestScore, bestEjected, ok = choice, score, ejected, true
-		}
-	}
-	return best, ok
-}
-
-func (c *Chooser) score(choice Choice, entry *backendBook, home bool, usual float64) time.Duration {
-	score := choice.Wait + rand.N(jitterTime)
-	if over := entry.health.failures - usual; over > 0 {
-		score += time.Duration(over * float64(failurePenalty))
-	}
-	if home {
-		score -= time.Duration(homeBonus * float64(prefillTime(choice.Uncached)))
-	}
-	if choice.Upstream.Busy() {
-		score += farPenalty
-	}
-	return score
-}
-
 func (c *Chooser) predict(need Requirements, state *fleet.State, entry *backendBook) Choice {
 	load := c.Loads.total(state.ID, entry)
 	choice := Choice{Upstream: state, Load: load}
@@ -150,37 +111,3 @@
 func prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / prefillTokensPerMillisecond * float64(time.Millisecond))
 }
-
-// usualFailures is the middle share of failures of the candidates. The caller holds the lock.
-func (b *LoadTracker) usualFailures(candidates []*fleet.State) float64 {
-	least, sum := 1.0, 0.0
-	for _, state := range candidates {
-		failures := b.of(state.ID).health.failures
-		least = min(least, failures)
-		sum += failures
-	}
-	// Between the best and the mean, so that one bad back end of a few does not hide itself.
-	return (least + sum/float64(len(candidates))) / 2
-}
-
-// homeOf is the candidate that all processes prefer for a prompt that no engine keeps.
-func homeOf(need Requirements, candidates []*fleet.State) string {
-	if len(need.Blocks) < 2 {
-		return ""
-	}
-	// The last part is the request's own.
-	key := need.Blocks[len(need.Blocks)-2].Key
-	var home string
-	var highest uint64
-	var buffer [8]byte
-	binary.LittleEndian.PutUint64(buffer[:], key)
-	for _, state := range candidates {
-		digest := xxhash.New()
-		_, _ = digest.Write(buffer[:])
-		_, _ = digest.WriteString(state.ID)
-		if rank := digest.Sum64(); home == "" || rank > highest {
-			home, highest = state.ID, rank
-		}
-	}
-	return home
-}
