--- /dev/null
+++ b/pkg/routing/routing_test.go
@@ -0,0 +1,174 @@
+package routing_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/pkg/routing"
+)
+
+var suiteT *testing.T
+
+func TestRouting(t *testing.T) {
+	suiteT = t
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Routing")
+}
+
+// bubble runs a spec on the runtime's fake clock.
+func bubble(spec func()) {
+	synctest.Test(suiteT, func(*testing.T) {
+		defer GinkgoRecover()
+		spec()
+	})
+}
+
+// candidates returns engines of two slots with so many requests running.
+func candidates(running ...int) []routing.Candidate {
+	var list []routing.Candidate
+	for i, n := range running {
+		list = append(list, routing.Candidate{ID: fmt.Sprint("e", i), Slots: 2, Running: n, Reported: time.Now()})
+	}
+	return list
+}
+
+// picked counts which engines are picked in a hundred choices.
+func picked(router *routing.Router, prompt string, list []routing.Candidate) map[string]int {
+	counts := map[string]int{}
+	for range 100 {
+		choice, err := router.Pick("m", prompt, list)
+		Expect(err).NotTo(HaveOccurred())
+		counts[choice.ID]++
+	}
+	return counts
+}
+
+var _ = Describe("a router", func() {
+	var router *routing.Router
+	BeforeEach(func() { router = routing.New(routing.Config{}) })
+
+	It("estimates the wait by the requests beyond the slots and the mean time in a slot", func() {
+		choice, err := router.Pick("m", "", candidates(5))
+		Expect(err).NotTo(HaveOccurred())
+		Expect(choice.Wait).To(Equal(4 * time.Second))
+		for range 500 {
+			router.Served("m", time.Second)
+		}
+		Expect(router.Service("m")).To(BeNumerically("~", time.Second, time.Millisecond))
+		choice, _ = router.Pick("m", "", candidates(5))
+		Expect(choice.Wait).To(BeNumerically("~", 2*time.Second, 2*time.Millisecond))
+	})
+
+	It("spreads choices among engines that are about equal", func() {
+		counts := picked(router, "", candidates(0, 1, 0, 2))
+		Expect(counts).To(HaveLen(3))
+		Expect(counts).NotTo(HaveKey("e3"))
+	})
+
+	It("counts what was sent since a report, by this box and by peers", func() {
+		bubble(func() {
+			list := candidates(0, 0)
+			list[0].PeersSent = 1
+			time.Sleep(time.Millisecond)
+			router.Sent("m", "", "e0")
+			Expect(picked(router, "", list)).To(Equal(map[string]int{"e1": 100}))
+			// A newer report includes what was sent before, except that this box's own still run.
+			Expect(picked(router, "", candidates(0, 0))).To(HaveLen(2))
+		})
+	})
+
+	It("takes other boxes to be as busy as itself where reports are stale", func() {
+		bubble(func() {
+			list := candidates(9, 0)
+			list[0].Boxes, list[1].Boxes = 4, 4
+			router.Sent("m", "", "e1")
+			time.Sleep(10 * time.Second)
+			Expect(picked(router, "", list)).To(Equal(map[string]int{"e1": 100}))
+			time.Sleep(time.Nanosecond)
+			Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+		})
+	})
+
+	It("sends prompts that share a prefix where it is cached, until waiting there costs more", func() {
+		prompt := strings.Repeat("x", 1024)
+		router.Sent("m", prompt, "e0")()
+		Expect(picked(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
+		Expect(picked(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
+		Expect(picked(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
+		router.CacheGone("e0")
+		Expect(picked(router, prompt, candidates(0, 0))).To(HaveLen(2))
+	})
+
+	It("prefers the near engine among equals", func() {
+		list := candidates(0, 0)
+		list[1].Distance = 5 * time.Millisecond
+		Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+	})
+
+	It("avoids an engine that failed for a while, unless there is no other", func() {
+		bubble(func() {
+			router.Failed("e0", time.Second)
+			Expect(picked(router, "", candidates(0, 9))).To(Equal(map[string]int{"e1": 100}))
+			Expect(picked(router, "", candidates(0))).To(Equal(map[string]int{"e0": 100}))
+			time.Sleep(time.Second)
+			Expect(picked(router, "", candidates(0, 9))).To(Equal(map[string]int{"e0": 100}))
+		})
+	})
+
+	It("counts all that it sent, and forgets engines that are gone once they are idle", func() {
+		first := router.Sent("m", "", "e0")
+		router.Sent("m", "", "e0")()
+		router.Sent("m", "", "e1")
+		Expect(router.Totals()).To(Equal(map[string]int64{"e0": 2, "e1": 1}))
+		gone := func(string) bool { return false }
+		router.Forget(gone)
+		Expect(router.Totals()).To(HaveLen(2))
+		first()
+		first()
+		router.Forget(gone)
+		Expect(router.Totals()).To(Equal(map[string]int64{"e1": 1}))
+	})
+})
+
+var _ = Describe("a retry budget", func() {
+	// allowed asks for so many retries and counts those that are within the budget.
+	allowed := func(budget *routing.RetryBudget, asked int) int {
+		n := 0
+		for range asked {
+			if budget.Retry() {
+				n++
+			}
+		}
+		return n
+	}
+
+	It("allows a share of requests and a few a second beside", func() {
+		bubble(func() {
+			budget := routing.NewRetryBudget(0.1)
+			// The floor's burst.
+			Expect(allowed(budget, 100)).To(Equal(10))
+			for range 45 {
+				budget.Request()
+			}
+			Expect(allowed(budget, 100)).To(Equal(4))
+			time.Sleep(3 * time.Second)
+			Expect(allowed(budget, 100)).To(Equal(3))
+		})
+	})
+
+	It("saves up a few retries only", func() {
+		bubble(func() {
+			budget := routing.NewRetryBudget(0.1)
+			for range 1000 {
+				budget.Request()
+			}
+			Expect(allowed(budget, 100)).To(Equal(20))
+		})
+	})
+})
