--- /dev/null
+++ b/pkg/admission/limits.go
@@ -0,0 +1,83 @@
+package admission
+
+import (
+	"math"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// burstTime is how much of a rate limit can be used at once. Chosen, not measured.
+	burstTime = time.Second
+	// inFlightRetry is after how long a request that met an in-flight limit may be sent again.
+	// Chosen, not measured.
+	inFlightRetry = time.Second
+)
+
+// Limit bounds one customer, model or service in the whole fleet; 0 is no limit.
+type Limit struct {
+	// Name tells limits apart, such as customer/model.
+	Name              string
+	RequestsPerSecond float64
+	// InFlight is the requests in flight at once. Each box takes its part rounded up.
+	InFlight int
+}
+
+// limitState is this box's part of a limit.
+type limitState struct {
+	// limiter is nil for a limit without a rate.
+	limiter  *rate.Limiter
+	inFlight int
+}
+
+// takeLimits takes a token of each rate limit, or none and returns a refusal if a limit is reached.
+func (c *Controller) takeLimits(limits []Limit, boxes int) *Refusal {
+	now := time.Now()
+	for _, limit := range limits {
+		state := c.limit(limit, boxes)
+		if limit.InFlight > 0 && state.inFlight >= boxPart(limit.InFlight, boxes) {
+			return refuse(ReasonInFlight, limit.Name, inFlightRetry)
+		}
+		if limit.RequestsPerSecond > 0 && state.limiter.TokensAt(now) < 1 {
+			return refuse(ReasonRate, limit.Name, untilToken(state.limiter, now))
+		}
+	}
+	for _, limit := range limits {
+		if limit.RequestsPerSecond > 0 {
+			c.limits[limit.Name].limiter.AllowN(now, 1)
+		}
+	}
+	return nil
+}
+
+func untilToken(limiter *rate.Limiter, now time.Time) time.Duration {
+	missing := 1 - limiter.TokensAt(now)
+	seconds := missing / float64(limiter.Limit())
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// limit returns a limit's state, with its rate set to this box's present part.
+func (c *Controller) limit(limit Limit, boxes int) *limitState {
+	state, ok := c.limits[limit.Name]
+	if !ok {
+		state = &limitState{}
+		c.limits[limit.Name] = state
+	}
+	if limit.RequestsPerSecond == 0 {
+		return state
+	}
+	perBox := rate.Limit(limit.RequestsPerSecond / float64(boxes))
+	burst := max(1, int(math.Ceil(float64(perBox)*burstTime.Seconds())))
+	switch {
+	case state.limiter == nil:
+		state.limiter = rate.NewLimiter(perBox, burst)
+	case state.limiter.Limit() != perBox:
+		state.limiter.SetLimit(perBox)
+		state.limiter.SetBurst(burst)
+	}
+	return state
+}
+
+// boxPart is one box's part of a limit, rounded up.
+func boxPart(limit, boxes int) int { return (limit + boxes - 1) / boxes }
--- /dev/null
+++ b/pkg/admission/refusal.go
@@ -0,0 +1,37 @@
+package admission
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// Reasons of a refusal; they label the metrics.
+const (
+	ReasonRate      = "rate limit"
+	ReasonInFlight  = "in-flight limit"
+	ReasonFairShare = "fair share"
+	ReasonTooLate   = "target out of reach"
+)
+
+const (
+	// minRetry and maxRetry bound the time to come back. Chosen, not measured.
+	minRetry = 200 * time.Millisecond
+	maxRetry = time.Minute
+	// retryJitter is the part of the time to come back that is added at random at most, so that
+	// refused callers do not come back together. Chosen, not measured.
+	retryJitter = 0.2
+)
+
+// Refusal is why a request is not admitted, and when to come back.
+type Refusal struct {
+	Reason string
+	// Limit is the name of the limit that was reached, if one was.
+	Limit      string
+	RetryAfter time.Duration
+}
+
+func refuse(reason, limit string, after time.Duration) *Refusal {
+	after = min(max(after, minRetry), maxRetry)
+	after += time.Duration(retryJitter * rand.Float64() * float64(after))
+	return &Refusal{Reason: reason, Limit: limit, RetryAfter: after.Round(time.Millisecond)}
+}
