--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -62,7 +62,7 @@
 		Expect(refused).To(BeZero())
 	})
 
-	It("would if customers were not told apart (guard off)", func() {
+	It("would if customers were not distinguished (guard off)", func() {
 		refused, _ := surge("one", "one")
 		Expect(refused).To(BeNumerically(">", 60))
 	})
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -17,7 +17,7 @@
 
 // Limit bounds one customer, model or service in the whole fleet; 0 is no limit.
 type Limit struct {
-	// Name tells limits apart, such as customer/model.
+	// Name identifies the limit, such as customer/model.
 	Name              string
 	RequestsPerSecond float64
 	// InFlight is the requests in flight at once. Each box takes its part rounded up.
--- a/pkg/admission/refusal.go
+++ b/pkg/admission/refusal.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minRetry and maxRetry bound the time to come back. Chosen, not measured.
+	// minRetry and maxRetry bound the time to come back, before the jitter. Chosen, not measured.
 	minRetry = 200 * time.Millisecond
 	maxRetry = time.Minute
 	// retryJitter is the part of the time to come back that is added at random at most, so that
