--- /dev/null
+++ b/pkg/fleet/directory.go
@@ -0,0 +1,81 @@
+// Package fleet is the directory of upstreams: which there are, what they hold and which leave.
+//
+// It joins three sources: the list that the platform's store holds (SetList), the residency updates
+// that the order holder publishes of the engines it changes (Publish, Apply), and what upstreams
+// answered to requests (MarkMissing, MarkUnreachable). It owns the joined view, and relies on its
+// callers to bring the lists (pkg/mirror) and to carry updates between boxes (internal/gateway).
+//
+// `ospreymoor node` uses it. `ospreymoor serve` has internal/box/fleet.go instead: a snapshot of the
+// plan, the box list and the halls' holdings, which are records with generations, not updates.
+package fleet
+
+import (
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Directory is the joined view. It is safe for concurrent use.
+type Directory struct {
+	mu     sync.RWMutex
+	states map[string]*State
+	// byService holds the states of a service in the order of their ids.
+	byService map[string][]*State
+	// revision is that of the latest list.
+	revision int64
+	// residencies are the latest of each engine, by its id.
+	residencies map[string]residency
+	// version is up to where all residency updates are known.
+	version Version
+	// disks say when a model was last listed for the engine at an address.
+	disks map[disk]map[string]time.Time
+	// marks say until when an upstream, or a model or adapter of it, counts as unavailable.
+	marks map[mark]time.Time
+	// refusals counts how often in a row an upstream took no connection, by its id.
+	refusals map[string]int
+}
+
+// New returns an empty directory.
+func New() *Directory {
+	return &Directory{
+		states:      map[string]*State{},
+		byService:   map[string][]*State{},
+		residencies: map[string]residency{},
+		disks:       map[disk]map[string]time.Time{},
+		marks:       map[mark]time.Time{},
+		refusals:    map[string]int{},
+	}
+}
+
+// Get returns one upstream, or nil.
+func (d *Directory) Get(id string) *State {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	return d.states[id]
+}
+
+// Of returns the upstreams of a service, in the order of their ids; the caller must not change it.
+func (d *Directory) Of(service string) []*State {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	return d.byService[service]
+}
+
+// Revision returns the store's revision of the latest list; 0 before the first one.
+func (d *Directory) Revision() int64 {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	return d.revision
+}
+
+// index rebuilds the lists of the services. The caller holds the lock.
+func (d *Directory) index() {
+	d.byService = map[string][]*State{}
+	for _, state := range d.states {
+		d.byService[state.Service] = append(d.byService[state.Service], state)
+	}
+	for _, list := range d.byService {
+		slices.SortFunc(list, func(a, b *State) int { return strings.Compare(a.ID, b.ID) })
+	}
+}
--- /dev/null
+++ b/pkg/fleet/eligible.go
@@ -0,0 +1,49 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+)
+
+// This file has the rules on whether an upstream may get a request. internal/gateway asks them in
+// the order below, and dispatch chooses among the upstreams that pass all of them. Their inputs are
+// the upstream's entry in the list, the engine's latest residency and the marks that answers left.
+// Each rule lets the request through where its input is missing, but for a model or adapter that
+// neither the list nor a residency names.
+
+// Usable tells whether the upstream may get anything new: it does not leave, and its entry is
+// listed or lapsed only lately (see lapseTime).
+func (s *State) Usable(now time.Time) bool {
+	return !s.Leaving && (s.DropAt.IsZero() || now.Before(s.DropAt))
+}
+
+// Holds tells whether the engine may be sent requests for a model. What the order holder published
+// goes before the list, which is older while an order is carried out.
+func (s *State) Holds(model string) bool {
+	if slices.Contains(s.withdrawn, model) {
+		return false
+	}
+	if slices.Contains(s.loaded, model) {
+		return true
+	}
+	listed := slices.ContainsFunc(s.Models, func(h Holding) bool { return h.Model == model })
+	return listed && !slices.Contains(s.dropped, model)
+}
+
+// HoldsAdapter tells whether the engine has an adapter of a model that it holds; no adapter ("") is
+// always there.
+func (s *State) HoldsAdapter(model, adapter string) bool {
+	return adapter == "" || slices.Contains(s.adapters[model], adapter)
+}
+
+// Missing tells whether a mark says that the upstream is unavailable, or lacks the model and
+// adapter that a request needs. Both are "" for a request to a plain service.
+func (d *Directory) Missing(upstream, model, adapter string) bool {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	if len(d.marks) == 0 {
+		return false
+	}
+	now := time.Now()
+	return now.Before(d.marks[mark{upstream: upstream}]) || now.Before(d.marks[mark{upstream, model, adapter}])
+}
--- /dev/null
+++ b/pkg/fleet/residency.go
@@ -0,0 +1,49 @@
+package fleet
+
+// Residency is what the order holder publishes of one engine: what its orders changed that the list
+// does not show yet. A later residency of the engine replaces it whole.
+type Residency struct {
+	// Adapters that are loaded, by model. They replace the list's, since adapters are paged faster
+	// than entries are written.
+	Adapters map[string][]string `json:"adapters,omitempty"`
+	// Withdrawn models are about to be unloaded. They get nothing new, so that their running requests
+	// end before the order is sent.
+	Withdrawn []string `json:"withdrawn,omitempty"`
+	// Loaded models are those whose load ended and that the list may not have yet: they get requests
+	// without waiting for the engine's next entry.
+	Loaded []string `json:"loaded,omitempty"`
+	// Dropped models are those whose unload ended and that the list may still have: requests for them
+	// would only be turned away.
+	Dropped []string `json:"dropped,omitempty"`
+	// Sequence numbers the updates of all engines under one term, from 1.
+	Sequence int64 `json:"sequence"`
+	// Busy tells that the engine carries out an order on a model. Engines take one such order at a
+	// time, and dispatch prefers others meanwhile.
+	Busy bool `json:"busy,omitempty"`
+}
+
+// residency is the latest residency of an engine, with the term of the order lease under which it
+// was published.
+type residency struct {
+	Residency
+	term int64
+}
+
+// Version orders residency updates: by the term of the order lease, then by sequence.
+type Version struct {
+	// Term of the order lease.
+	Term int64 `json:"term,omitempty"`
+	// Sequence up to which all updates under the term are known.
+	Sequence int64 `json:"sequence,omitempty"`
+}
+
+// Before tells whether v is older than other.
+func (v Version) Before(other Version) bool {
+	return v.Term < other.Term || (v.Term == other.Term && v.Sequence < other.Sequence)
+}
+
+// Update has the residencies that were published since some version, up to Version.
+type Update struct {
+	Version Version              `json:"stamp"`
+	Engines map[string]Residency `json:"engines,omitempty"`
+}
--- /dev/null
+++ b/pkg/fleet/state.go
@@ -0,0 +1,53 @@
+package fleet
+
+import "time"
+
+// State is an upstream with everything known of it. It does not change once made.
+type State struct {
+	Upstream
+	// ListedAt is when the list last had a new entry of it.
+	ListedAt time.Time
+	// LeavesAt is when an upstream that gave notice is gone; zero if it gave none.
+	LeavesAt time.Time
+	// DropAt is when an upstream whose entry lapsed is dropped; zero while it is listed.
+	DropAt time.Time
+
+	// adapters that are loaded, by model: those listed, and those of the residency in their place.
+	adapters map[string][]string
+	// withdrawn, loaded, dropped and busy are those of the residency.
+	withdrawn []string
+	loaded    []string
+	dropped   []string
+	busy      bool
+}
+
+// Adapters lists the adapters of a model that the engine is known to have.
+func (s *State) Adapters(model string) []string { return s.adapters[model] }
+
+// Busy tells whether the engine loads or unloads a model, so that it takes no other order.
+func (s *State) Busy() bool { return s.busy }
+
+// join makes the state of a listed upstream from its entry and its residency; old is the state
+// before, nil if there is none. The caller holds the lock.
+func (d *Directory) join(upstream Upstream, old *State) *State {
+	state := &State{Upstream: upstream, ListedAt: time.Now(), adapters: map[string][]string{}}
+	if upstream.Leaving && upstream.Notice > 0 {
+		state.LeavesAt = state.ListedAt.Add(upstream.Notice)
+		if old != nil && !old.LeavesAt.IsZero() {
+			state.LeavesAt = old.LeavesAt
+		}
+	}
+	for _, holding := range upstream.Models {
+		state.adapters[holding.Model] = holding.Adapters
+	}
+	if latest, ok := d.residencies[upstream.ID]; ok {
+		for model, adapters := range latest.Adapters {
+			state.adapters[model] = adapters
+		}
+		state.withdrawn = latest.Withdrawn
+		state.loaded = latest.Loaded
+		state.dropped = latest.Dropped
+		state.busy = latest.Busy
+	}
+	return state
+}
--- /dev/null
+++ b/pkg/fleet/updates.go
@@ -0,0 +1,98 @@
+package fleet
+
+// Publish numbers and stores an engine's residency. Only the order holder calls it, for its own
+// term. It returns the update's sequence; 0 if the term is over.
+func (d *Directory) Publish(term int64, engine string, next Residency) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.enterTerm(term) {
+		return 0
+	}
+	d.version.Sequence++
+	next.Sequence = d.version.Sequence
+	d.setResidency(engine, next)
+	d.index()
+	return next.Sequence
+}
+
+// MergeResidency takes single residencies that come ahead of their update, as in the order holder's
+// answer to a request, and leaves the version as it is. Those of an older term are dropped. A
+// residency of an older term stays until the new order holder publishes one of that engine.
+func (d *Directory) MergeResidency(term int64, engines map[string]Residency) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.merge(term, engines)
+}
+
+// Apply takes an update that UpdateSince returned for this directory's version.
+func (d *Directory) Apply(update Update) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.merge(update.Version.Term, update.Engines) {
+		d.version.Sequence = max(d.version.Sequence, update.Version.Sequence)
+	}
+}
+
+// UpdateSince returns what was published after a version; nil if nothing was.
+func (d *Directory) UpdateSince(version Version) *Update {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	if !version.Before(d.version) {
+		return nil
+	}
+	if version.Term != d.version.Term {
+		version = Version{Term: d.version.Term}
+	}
+	update := &Update{Version: d.version, Engines: map[string]Residency{}}
+	for id, latest := range d.residencies {
+		if latest.term == version.Term && latest.Sequence > version.Sequence {
+			update.Engines[id] = latest.Residency
+		}
+	}
+	return update
+}
+
+// Version returns up to where all residency updates are known.
+func (d *Directory) Version() Version {
+	d.mu.RLock()
+	defer d.mu.RUnlock()
+	return d.version
+}
+
+// merge stores the residencies that are newer than those known, and tells whether they are of the
+// latest term. The caller holds the lock.
+func (d *Directory) merge(term int64, engines map[string]Residency) bool {
+	if !d.enterTerm(term) {
+		return false
+	}
+	for id, next := range engines {
+		if old := d.residencies[id]; old.term < term || old.Sequence < next.Sequence {
+			d.setResidency(id, next)
+		}
+	}
+	d.index()
+	return true
+}
+
+// enterTerm begins a new term, if it is one, with no updates known; false if it is older than the
+// latest. The caller holds the lock.
+func (d *Directory) enterTerm(term int64) bool {
+	if term < d.version.Term {
+		return false
+	}
+	if term > d.version.Term {
+		d.version = Version{Term: term}
+	}
+	return true
+}
+
+// setResidency stores an engine's residency under the latest term. Only the list renews ListedAt
+// and ends a lapse. The caller holds the lock.
+func (d *Directory) setResidency(engine string, next Residency) {
+	d.residencies[engine] = residency{Residency: next, term: d.version.Term}
+	if state := d.states[engine]; state != nil {
+		joined := d.join(state.Upstream, state)
+		joined.ListedAt, joined.DropAt = state.ListedAt, state.DropAt
+		d.states[engine] = joined
+	}
+}
--- /dev/null
+++ b/pkg/fleet/upstream.go
@@ -0,0 +1,32 @@
+package fleet
+
+import "time"
+
+// Upstream is an engine or plain service as its entry in the list describes it. It does not change
+// once listed.
+type Upstream struct {
+	ID      string
+	Service string
+	// Address is IP:PORT.
+	Address string
+	Hall    string
+	// Version of its software.
+	Version string
+	// Slots is how many requests it works on at once.
+	Slots int
+	// Leaving upstreams get nothing new.
+	Leaving bool
+	// Notice is how long after its entry was written a leaving upstream ends; 0 if it gave none.
+	Notice time.Duration
+	// Models that it holds, with their adapters.
+	Models []Holding
+	// Revision is the store's revision at which the entry was written.
+	Revision int64
+}
+
+// Holding is a model that an engine holds.
+type Holding struct {
+	Model    string
+	Version  int
+	Adapters []string
+}
