--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -45,7 +45,6 @@
 		Expect(kinds).To(Equal(map[string]fleet.ChangeKind{"e1": fleet.Leaving, "e2": fleet.Removed, "e3": fleet.Joined}))
 		Expect(d.SetList(11, nil, time.Time{})).To(BeEmpty())
 		Expect(d.Of("s")).To(HaveLen(2))
-		Expect(time.Until(d.Get("e1").LeavesAt)).To(BeNumerically("~", 2*time.Second, time.Second))
 	})
 
 	It("joins what the order holder says, newest term and sequence first", func() {
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -55,7 +55,7 @@
 		if kind := changeOf(old, upstream); kind != "" {
 			changes = append(changes, Change{Upstream: upstream, Kind: kind})
 		}
-		d.states[upstream.ID] = d.join(upstream, old)
+		d.states[upstream.ID] = d.join(upstream)
 		d.noteDisk(upstream)
 	}
 	return changes
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -7,8 +7,6 @@
 	Upstream
 	// ListedAt is when the list last had a new entry of it.
 	ListedAt time.Time
-	// LeavesAt is when an upstream that gave notice is gone; zero if it gave none.
-	LeavesAt time.Time
 	// DropAt is when an upstream whose entry lapsed is dropped; zero while it is listed.
 	DropAt time.Time
 
@@ -21,22 +19,13 @@
 	busy      bool
 }
 
-// Adapters lists the adapters of a model that the engine is known to have.
-func (s *State) Adapters(model string) []string { return s.adapters[model] }
-
 // Busy tells whether the engine loads or unloads a model, so that it takes no other order.
 func (s *State) Busy() bool { return s.busy }
 
-// join makes the state of a listed upstream from its entry and its residency; old is the state
-// before, nil if there is none. The caller holds the lock.
-func (d *Directory) join(upstream Upstream, old *State) *State {
+// join makes the state of a listed upstream from its entry and its residency. The caller holds the
+// lock.
+func (d *Directory) join(upstream Upstream) *State {
 	state := &State{Upstream: upstream, ListedAt: time.Now(), adapters: map[string][]string{}}
-	if upstream.Leaving && upstream.Notice > 0 {
-		state.LeavesAt = state.ListedAt.Add(upstream.Notice)
-		if old != nil && !old.LeavesAt.IsZero() {
-			state.LeavesAt = old.LeavesAt
-		}
-	}
 	for _, holding := range upstream.Models {
 		state.adapters[holding.Model] = holding.Adapters
 	}
--- a/pkg/fleet/updates.go
+++ b/pkg/fleet/updates.go
@@ -91,7 +91,7 @@
 func (d *Directory) setResidency(engine string, next Residency) {
 	d.residencies[engine] = residency{Residency: next, term: d.version.Term}
 	if state := d.states[engine]; state != nil {
-		joined := d.join(state.Upstream, state)
+		joined := d.join(state.Upstream)
 		joined.ListedAt, joined.DropAt = state.ListedAt, state.DropAt
 		d.states[engine] = joined
 	}
