--- a/pkg/fleet/eligible.go
+++ b/pkg/fleet/eligible.go
@@ -11,13 +11,13 @@
 // Each rule lets the request through where its input is missing, but for a model or adapter that
 // neither the list nor a residency names.
 
-// Usable tells whether the upstream may get anything new: it does not leave, and its entry is
+// Usable reports whether the upstream may get anything new: it does not leave, and its entry is
 // listed or lapsed only lately (see lapseTime).
 func (s *State) Usable(now time.Time) bool {
 	return !s.Leaving && (s.DropAt.IsZero() || now.Before(s.DropAt))
 }
 
-// Holds tells whether the engine may be sent requests for a model. What the order holder published
+// Holds reports whether the engine may be sent requests for a model. What the order holder published
 // goes before the list, which is older while an order is carried out.
 func (s *State) Holds(model string) bool {
 	if slices.Contains(s.withdrawn, model) {
@@ -30,13 +30,13 @@
 	return listed && !slices.Contains(s.dropped, model)
 }
 
-// HoldsAdapter tells whether the engine has an adapter of a model that it holds; no adapter ("") is
+// HoldsAdapter reports whether the engine has an adapter of a model that it holds; no adapter ("") is
 // always there.
 func (s *State) HoldsAdapter(model, adapter string) bool {
 	return adapter == "" || slices.Contains(s.adapters[model], adapter)
 }
 
-// Missing tells whether a mark says that the upstream is unavailable, or lacks the model and
+// Missing reports whether a mark says that the upstream is unavailable, or lacks the model and
 // adapter that a request needs. Both are "" for a request to a plain service.
 func (d *Directory) Missing(upstream, model, adapter string) bool {
 	d.mu.RLock()
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -2,29 +2,23 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestFleet(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Fleet")
-}
+func TestFleet(t *testing.T) { spectest.Run(t, "Fleet") }
 
 func engine(id string, revision int64, models ...string) fleet.Upstream {
-	backend := fleet.Upstream{ID: id, Service: "s", Revision: revision}
+	upstream := fleet.Upstream{ID: id, Service: "s", Revision: revision}
 	for _, model := range models {
-		backend.Models = append(backend.Models, fleet.Holding{Model: model})
+		upstream.Models = append(upstream.Models, fleet.Holding{Model: model})
 	}
-	return backend
+	return upstream
 }
 
 var _ = Describe("a directory", func() {
@@ -34,7 +28,7 @@
 		d.SetList(10, []fleet.Upstream{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
 	})
 
-	It("tells who came, leaves and went, and ignores older lists", func() {
+	It("returns who joined, leaves and was removed, and ignores older lists", func() {
 		leaving := engine("e1", 11, "m1", "m2")
 		leaving.Leaving, leaving.Notice = true, 2*time.Second
 		changes := d.SetList(12, []fleet.Upstream{leaving, engine("e3", 12)}, time.Time{})
@@ -47,7 +41,7 @@
 		Expect(d.Of("s")).To(HaveLen(2))
 	})
 
-	It("joins what the order holder says, newest term and sequence first", func() {
+	It("joins what the order holder publishes, newest term and sequence first", func() {
 		d.MergeResidency(5, map[string]fleet.Residency{"e1": {
 			Sequence: 2, Withdrawn: []string{"m1"}, Loaded: []string{"m3"}, Dropped: []string{"m2"},
 			Adapters: map[string][]string{"m3": {"a1"}},
@@ -65,25 +59,25 @@
 		Expect(fleet.Version{Term: 5, Sequence: 9}.Before(d.Version())).To(BeTrue())
 	})
 
-	It("passes on only what a peer does not know, and loses nothing of it", func() {
+	It("passes on only the updates that a peer lacks, and loses none of them", func() {
 		peer := fleet.New()
 		peer.SetList(10, []fleet.Upstream{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
 		catchUp := func() map[string]fleet.Residency {
-			words := d.UpdateSince(peer.Version())
-			if words == nil {
+			update := d.UpdateSince(peer.Version())
+			if update == nil {
 				return nil
 			}
-			peer.Apply(*words)
-			return words.Engines
+			peer.Apply(*update)
+			return update.Engines
 		}
 		d.Publish(5, "e1", fleet.Residency{Busy: true})
 		d.Publish(5, "e2", fleet.Residency{Busy: true})
 		Expect(catchUp()).To(HaveLen(2))
 		Expect(catchUp()).To(BeNil())
 		d.Publish(5, "e1", fleet.Residency{Loaded: []string{"m3"}})
-		number := d.Publish(5, "e2", fleet.Residency{Loaded: []string{"m3"}})
-		// A single word that comes ahead must not hide the ones before it.
-		peer.MergeResidency(5, map[string]fleet.Residency{"e2": {Loaded: []string{"m3"}, Sequence: number}})
+		sequence := d.Publish(5, "e2", fleet.Residency{Loaded: []string{"m3"}})
+		// A residency that comes ahead of its update must not hide the updates before it.
+		peer.MergeResidency(5, map[string]fleet.Residency{"e2": {Loaded: []string{"m3"}, Sequence: sequence}})
 		Expect(peer.Get("e2").Holds("m3")).To(BeTrue())
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
 		Expect(catchUp()).To(HaveLen(2))
@@ -92,11 +86,11 @@
 		Expect(d.Publish(6, "e1", fleet.Residency{Loaded: []string{"m4"}})).To(BeZero())
 		Expect(catchUp()).To(HaveLen(1))
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
-		// The new holder has not spoken of this engine yet: the former one's word holds.
+		// The new order holder has published nothing of this engine yet: the former one's residency stays.
 		Expect(peer.Get("e2").Holds("m3")).To(BeTrue())
 	})
 
-	It("drops a back end at whose address a newer one is listed", func() {
+	It("drops an upstream at whose address a newer one is listed", func() {
 		old, restarted := engine("e1", 11, "m1"), engine("e9", 12)
 		old.Address, restarted.Address = "10.0.0.1:1", "10.0.0.1:1"
 		Expect(d.SetList(11, []fleet.Upstream{old}, time.Time{})).NotTo(BeEmpty())
@@ -107,14 +101,13 @@
 		Expect(d.Get("e1")).To(BeNil())
 	})
 
-	It("uses a back end for a little longer whose entry lapsed, unless it left or was replaced", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+	It("uses an upstream for a little longer whose entry lapsed, unless it was leaving or was replaced", func() {
+		spectest.Bubble(func() {
 			d := fleet.New()
 			at := func(id, address string, leaving bool) fleet.Upstream {
-				backend := engine(id, 8, "m1")
-				backend.Address, backend.Leaving = address, leaving
-				return backend
+				upstream := engine(id, 8, "m1")
+				upstream.Address, upstream.Leaving = address, leaving
+				return upstream
 			}
 			list := []fleet.Upstream{at("lives", "a:1", false), at("crashed", "a:2", false), at("restarted", "a:3", false), at("left", "a:4", true)}
 			d.SetList(8, list, time.Time{})
@@ -149,12 +142,11 @@
 		})
 	})
 
-	It("leaves a back end alone for longer each time that it takes no connection", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+	It("sends an upstream nothing for longer each time that it takes no connection", func() {
+		spectest.Bubble(func() {
 			span := func() time.Duration {
 				d.MarkUnreachable("e1")
-				d.MarkUnreachable("e1") // Another sending that was under way does not count.
+				d.MarkUnreachable("e1") // Another attempt that was under way does not count.
 				begun := time.Now()
 				for d.Missing("e1", "", "") {
 					time.Sleep(10 * time.Millisecond)
@@ -168,7 +160,7 @@
 		})
 	})
 
-	It("believes for a while that an engine lacks something or takes no connection", func() {
+	It("marks for a while what an engine lacks, and an upstream that takes no connection", func() {
 		d.MarkMissing("e1", "m1", "a1")
 		Expect(d.Missing("e1", "m1", "a1")).To(BeTrue())
 		Expect(d.Missing("e1", "m1", "a2")).To(BeFalse())
--- a/pkg/fleet/residency.go
+++ b/pkg/fleet/residency.go
@@ -17,7 +17,7 @@
 	Dropped []string `json:"dropped,omitempty"`
 	// Sequence numbers the updates of all engines under one term, from 1.
 	Sequence int64 `json:"sequence"`
-	// Busy tells that the engine carries out an order on a model. Engines take one such order at a
+	// Busy is true while the engine carries out an order on a model. Engines take one such order at a
 	// time, and dispatch prefers others meanwhile.
 	Busy bool `json:"busy,omitempty"`
 }
@@ -37,7 +37,7 @@
 	Sequence int64 `json:"sequence,omitempty"`
 }
 
-// Before tells whether v is older than other.
+// Before reports whether v is older than other.
 func (v Version) Before(other Version) bool {
 	return v.Term < other.Term || (v.Term == other.Term && v.Sequence < other.Sequence)
 }
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -19,7 +19,7 @@
 	busy      bool
 }
 
-// Busy tells whether the engine loads or unloads a model, so that it takes no other order.
+// Busy reports whether the engine loads or unloads a model, so that it takes no other order.
 func (s *State) Busy() bool { return s.busy }
 
 // join makes the state of a listed upstream from its entry and its residency. The caller holds the
--- a/pkg/fleet/updates.go
+++ b/pkg/fleet/updates.go
@@ -59,7 +59,7 @@
 	return d.version
 }
 
-// merge stores the residencies that are newer than those known, and tells whether they are of the
+// merge stores the residencies that are newer than those known, and reports whether they are of the
 // latest term. The caller holds the lock.
 func (d *Directory) merge(term int64, engines map[string]Residency) bool {
 	if !d.enterTerm(term) {
