--- /dev/null
+++ b/pkg/mirror/follow.go
@@ -0,0 +1,152 @@
+package mirror
+
+import (
+	"context"
+	"maps"
+	"time"
+
+	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/pause"
+)
+
+const (
+	// firstRetryPause is the pause after the service broke off or refused. It doubles with each
+	// further time up to longRetryPause, so that a service that is away is not flooded while its
+	// return is noticed soon. It begins anew once a watch lasted longer than longRetryPause.
+	// Chosen, not measured.
+	firstRetryPause = 100 * time.Millisecond
+	// longRetryPause bounds it.
+	// Chosen, not measured.
+	longRetryPause = time.Second
+	// pausedCheck is how often a paused mirror looks whether it should ask again.
+	// Chosen, not measured.
+	pausedCheck = 100 * time.Millisecond
+	// lostRetry is how often a paused mirror asks a service that it lost, so that this box can say
+	// whether it reaches the service.
+	// Chosen, not measured.
+	lostRetry = 2 * time.Second
+)
+
+// Run follows the service until ctx ends.
+func (m *Mirror) Run(ctx context.Context) {
+	wait := firstRetryPause
+	complete := false
+	for ctx.Err() == nil {
+		if m.shouldPause() {
+			_ = pause.For(ctx, pausedCheck) // Fails only when ctx ends, which ends the loop.
+			continue
+		}
+		begun := time.Now()
+		complete = m.follow(ctx, complete)
+		if complete {
+			continue
+		}
+		if time.Since(begun) > longRetryPause {
+			wait = firstRetryPause
+		}
+		if pause.For(ctx, wait) != nil {
+			return
+		}
+		wait = min(2*wait, longRetryPause)
+	}
+}
+
+// shouldPause reports whether the service need not be asked now: this mirror has a copy, other boxes
+// keep it up to date, and a lost service was tried lately.
+func (m *Mirror) shouldPause() bool {
+	m.mu.Lock()
+	due := m.state.Revision == 0 || (m.connection.lost && time.Since(m.connection.triedAt) > lostRetry)
+	m.mu.Unlock()
+	return !due && m.Paused != nil && m.Paused()
+}
+
+// follow takes in changes until the service breaks off, or until the mirror should pause. If the
+// state is complete, nothing was missed since, and the watch goes on from its revision; if not, a
+// snapshot is read first. It returns whether the state is complete at the end.
+func (m *Mirror) follow(ctx context.Context, complete bool) bool {
+	m.mu.Lock()
+	m.connection.triedAt = time.Now()
+	from := m.state.Revision
+	m.mu.Unlock()
+	if !complete {
+		snapshot, err := m.Store.Snapshot(ctx, "")
+		m.noteConnectivity(err)
+		if err != nil {
+			return false
+		}
+		m.applySnapshot(snapshot)
+		from = snapshot.Revision
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	batches, err := m.Store.Watch(ctx, kv.Watching{From: from + 1, Idle: m.PollTimeout})
+	if err != nil {
+		m.noteConnectivity(err)
+		return false
+	}
+	return m.applyBatches(ctx, batches)
+}
+
+// applyBatches takes in a watch's batches until it ends, or until the mirror should pause; it
+// reports whether it is the latter. A watch that ends has no error: the next snapshot shows whether
+// the service is lost.
+func (m *Mirror) applyBatches(ctx context.Context, batches <-chan []kv.Event) bool {
+	for batch := range batches {
+		m.noteConnectivity(nil)
+		m.applyEvents(batch)
+		if len(batch) > 0 && m.BatchDelay != nil && pause.For(ctx, m.BatchDelay()) != nil {
+			return false
+		}
+		if m.shouldPause() {
+			return true
+		}
+	}
+	return false
+}
+
+// applySnapshot replaces the state by a snapshot, unless a newer delta was applied meanwhile.
+func (m *Mirror) applySnapshot(snapshot kv.Snapshot) {
+	records := make(map[string]kv.Record, len(snapshot.Records))
+	for _, record := range snapshot.Records {
+		records[record.Key] = record
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	previousCurrentAt := m.freshness.byAny
+	m.confirmByStore()
+	if snapshot.Revision < m.state.Revision {
+		return
+	}
+	m.removals.addMissing(m.state, records, snapshot.Revision)
+	m.setState(State{Revision: snapshot.Revision, Records: records, PreviousCurrentAt: previousCurrentAt})
+}
+
+// applyEvents takes in a batch of a watch, which may be empty. Events that the state has already are
+// left out.
+func (m *Mirror) applyEvents(events []kv.Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	next := State{Revision: m.state.Revision, Records: maps.Clone(m.state.Records), PreviousCurrentAt: m.freshness.byAny}
+	m.confirmByStore()
+	if next.Records == nil {
+		next.Records = map[string]kv.Record{}
+	}
+	changed := false
+	for _, event := range events {
+		record := event.Record
+		if record.Revision <= m.state.Revision {
+			continue
+		}
+		changed = true
+		if event.Deleted {
+			delete(next.Records, record.Key)
+			m.removals.add(record.Key, record.Revision)
+		} else {
+			next.Records[record.Key] = record
+		}
+		next.Revision = max(next.Revision, record.Revision)
+	}
+	if changed {
+		m.setState(next)
+	}
+}
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -1,251 +1,147 @@
-// Package mirror keeps a copy of the keys below one prefix of the key-value service.
+// Package mirror keeps a copy of all that the key-value service holds.
 //
-// The copy follows the service's watch. Where the service can't be reached, another process's
-// newer copy is taken instead, so that news spreads while a few processes still hear it.
+// The copy follows the service's watch. Where the service can't be reached, or need not be asked, a
+// newer copy of another box brings it up to date, as a delta. So a few boxes that watch the service
+// are enough for all. The package owns the copy and its age; it relies on pkg/kv for the service and
+// on its callers to carry deltas between boxes.
+//
+// `ospreymoor node` uses it (internal/gateway: storeview.go, exchange.go). `ospreymoor serve` has
+// pkg/records instead: named records with generations of their own, not one copy at a revision.
 package mirror
 
 import (
-	"context"
-	"maps"
 	"sync"
 	"time"
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
-	"ospreymoor.example/ospreymoor/pkg/pause"
-)
-
-const (
-	firstPause = 100 * time.Millisecond
-	longPause  = time.Second
 )
 
-// State is the state of the prefix at one revision.
+// State is what the service holds at one revision.
 type State struct {
-	// Revision of the service that the copy reflects; 0 before anything was read.
-	Revision int64                `json:"revision"`
-	Records  map[string]kv.Record `json:"records"`
-	// PreviousCurrentAt is when the copy before this one was still known to be current; what changed came
-	// later. It is zero for the first one.
+	// Revision of the service that the records reflect; 0 before anything was read.
+	Revision int64 `json:"revision"`
+	// Records by key. They are never changed once made.
+	Records map[string]kv.Record `json:"records"`
+	// PreviousCurrentAt is when the state before this one was last known to be current: what changed
+	// did so later. It is zero for the first state.
 	PreviousCurrentAt time.Time `json:"-"`
 }
 
-// Mirror follows one prefix. It is safe for concurrent use.
+// Mirror follows the service. It is safe for concurrent use; its exported fields are set before Run.
 type Mirror struct {
-	Store  kv.Store
-	Prefix string
-	// OnChange is called with each new state, one call at a time; it must not block. The
-	// records of a copy are never changed.
+	Store kv.Store
+	// OnChange is called with each new state, one call at a time and with the mirror locked: it must
+	// neither block nor call the mirror.
 	OnChange func(State)
-	// BatchDelay tells how long changes are gathered before the service is asked for more: each
-	// answer of a watch is a call that costs. nil takes no time.
+	// BatchDelay returns how long changes are gathered before the service is asked for more, since
+	// each answer of a watch is a call that costs; nil is no time.
 	BatchDelay func() time.Duration
-	// PollTimeout is how long the service may hold a question of the watch back; see kv.Watching.
+	// PollTimeout returns how long the service may hold back the answer to one poll of the watch
+	// while nothing changes; see kv.Watching.
 	PollTimeout func() time.Duration
-	// Paused tells whether the service need not be asked now, because other processes tell of its
-	// changes; nil asks it always.
+	// Paused reports whether the service need not be asked now, because other boxes bring the copy
+	// up to date; nil asks it always.
 	Paused func() bool
 	// OnConnectivity is called when the service is lost (with the error) and regained (with nil).
 	OnConnectivity func(error)
 
-	mu    sync.Mutex
-	state State
-	// heard is when the service itself last told that the state is current, and current when it
-	// was so by any source.
-	heard   time.Time
-	current time.Time
-	lost    bool
-	// tried is when the service was last asked.
-	tried    time.Time
-	removals removals
+	mu        sync.Mutex
+	state     State
+	removals  removals
+	freshness freshness
+	// connection is that to the service.
+	connection connection
+}
+
+// freshness says when the copy was last known to be current; zero times are never.
+type freshness struct {
+	// byStore is when the service itself last confirmed it.
+	byStore time.Time
+	// byAny is when the service or another box last confirmed it.
+	byAny time.Time
+}
+
+// connection says how the calls to the service went.
+type connection struct {
+	// lost is true while the latest call failed.
+	lost bool
+	// triedAt is when the service was last asked.
+	triedAt time.Time
 }
 
-// State returns the latest copy.
+// State returns the latest state.
 func (m *Mirror) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// never is the age of what was never known.
-const never = -1
-
-// Age is how long ago the service itself told that the copy is current; negative if it never did.
+// Age returns how long ago the service itself confirmed that the copy is current; negative if it
+// never did.
 func (m *Mirror) Age() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard.IsZero() {
-		return never
-	}
-	return time.Since(m.heard)
+	return since(m.freshness.byStore)
 }
 
-// Staleness is how long ago the copy was current by any source's word; negative if it never was.
+// Staleness returns how long ago the copy was last known to be current, by the service or by another
+// box; negative if it never was.
 func (m *Mirror) Staleness() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.current.IsZero() {
-		return never
-	}
-	return time.Since(m.current)
+	return since(m.freshness.byAny)
 }
 
-// ConfirmCurrent takes another process's word that a copy of a revision was current at some time.
-func (m *Mirror) ConfirmCurrent(revision int64, current time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.state.Revision >= revision && current.After(m.current) {
-		m.current = current
-	}
-}
-
-// Run follows the prefix until ctx ends.
-func (m *Mirror) Run(ctx context.Context) {
-	wait := firstPause
-	whole := false
-	for ctx.Err() == nil {
-		if m.resting() {
-			_ = pause.For(ctx, restPause)
-			continue
-		}
-		begun := time.Now()
-		whole = m.follow(ctx, whole)
-		if whole {
-			continue
-		}
-		if time.Since(begun) > longPause {
-			wait = firstPause
-		}
-		if pause.For(ctx, wait) != nil {
-			return
-		}
-		wait = min(2*wait, longPause)
-	}
-}
-
-const (
-	// restPause is how often a resting mirror looks whether it should ask again.
-	restPause = 100 * time.Millisecond
-	// lostRetry is how often a resting mirror asks a service that it lost.
-	lostRetry = 2 * time.Second
-)
-
-// resting tells whether the service need not be asked now.
-func (m *Mirror) resting() bool {
-	m.mu.Lock()
-	due := m.state.Revision == 0 || (m.lost && time.Since(m.tried) > lostRetry)
-	m.mu.Unlock()
-	return !due && m.Paused != nil && m.Paused()
-}
+// never is the age of what was never confirmed.
+const never = -1
 
-// follow takes in changes until the service breaks off, or until it need not be asked any more.
-// whole tells that nothing was missed since the copy that there is; if not, the prefix is read
-// first. It returns whether that holds at the end.
-func (m *Mirror) follow(ctx context.Context, whole bool) bool {
-	m.mu.Lock()
-	m.tried = time.Now()
-	from := m.state.Revision
-	m.mu.Unlock()
-	if !whole {
-		snapshot, err := m.Store.Snapshot(ctx, m.Prefix)
-		m.report(err)
-		if err != nil {
-			return false
-		}
-		m.take(snapshot)
-		from = snapshot.Revision
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	events, err := m.Store.Watch(ctx, kv.Watching{Prefix: m.Prefix, From: from + 1, Idle: m.PollTimeout})
-	if err != nil {
-		m.report(err)
-		return false
-	}
-	for batch := range events {
-		m.report(nil)
-		m.apply(batch)
-		if len(batch) > 0 && m.BatchDelay != nil && pause.For(ctx, m.BatchDelay()) != nil {
-			return false
-		}
-		if m.resting() {
-			return true
-		}
+func since(confirmed time.Time) time.Duration {
+	if confirmed.IsZero() {
+		return never
 	}
-	return false
+	return time.Since(confirmed)
 }
 
-// Lost tells whether the service could not be reached at the last try.
-func (m *Mirror) Lost() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.lost
-}
-
-// take replaces the state by a snapshot, unless a newer copy was offered meanwhile.
-func (m *Mirror) take(snapshot kv.Snapshot) {
-	records := make(map[string]kv.Record, len(snapshot.Records))
-	for _, record := range snapshot.Records {
-		records[record.Key] = record
-	}
+// ConfirmCurrent notes that another box's copy of a revision was current at some time. It counts
+// only if this copy is as new.
+func (m *Mirror) ConfirmCurrent(revision int64, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	since := m.current
-	m.hear()
-	if snapshot.Revision < m.state.Revision {
-		return
+	if m.state.Revision >= revision && at.After(m.freshness.byAny) {
+		m.freshness.byAny = at
 	}
-	m.removals.replace(m.state, records, snapshot.Revision)
-	m.set(State{Revision: snapshot.Revision, Records: records, PreviousCurrentAt: since})
 }
 
-// hear notes that the service itself told of its state. The caller holds the lock.
-func (m *Mirror) hear() {
-	m.heard = time.Now()
-	m.current = m.heard
+// confirmByStore notes that the service itself answered with its current state. The caller holds
+// the lock.
+func (m *Mirror) confirmByStore() {
+	now := time.Now()
+	m.freshness = freshness{byStore: now, byAny: now}
 }
 
-func (m *Mirror) apply(events []kv.Event) {
+// Lost reports whether the service could not be reached at the latest call.
+func (m *Mirror) Lost() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := State{Revision: m.state.Revision, Records: maps.Clone(m.state.Records), PreviousCurrentAt: m.current}
-	m.hear()
-	if next.Records == nil {
-		next.Records = map[string]kv.Record{}
-	}
-	changed := false
-	for _, event := range events {
-		record := event.Record
-		if record.Revision <= m.state.Revision {
-			continue
-		}
-		changed = true
-		if event.Deleted {
-			delete(next.Records, record.Key)
-			m.removals.add(record.Key, record.Revision)
-		} else {
-			next.Records[record.Key] = record
-		}
-		next.Revision = max(next.Revision, record.Revision)
-	}
-	if changed {
-		m.set(next)
-	}
-}
-
-// set stores a state and tells of it. The caller holds the lock.
-func (m *Mirror) set(c State) {
-	m.state = c
-	if m.OnChange != nil {
-		m.OnChange(c)
-	}
+	return m.connection.lost
 }
 
-func (m *Mirror) report(err error) {
+// noteConnectivity notes how a call went. Only losing and regaining the service are passed on: the
+// errors of further calls while it is lost say nothing new.
+func (m *Mirror) noteConnectivity(err error) {
 	m.mu.Lock()
-	was := m.lost
-	m.lost = err != nil
+	was := m.connection.lost
+	m.connection.lost = err != nil
 	m.mu.Unlock()
 	if m.OnConnectivity != nil && was != (err != nil) {
 		m.OnConnectivity(err)
 	}
 }
+
+// setState stores a state and passes it on. The caller holds the lock.
+func (m *Mirror) setState(state State) {
+	m.state = state
+	if m.OnChange != nil {
+		m.OnChange(state)
+	}
+}
