--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -14,14 +14,26 @@
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
+func TestMirror(t *testing.T) { spectest.Run(t, "Mirror") }
 
-func TestMirror(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Mirror")
+// start runs a mirror, and returns what stops it and waits for its end.
+func start(m *mirror.Mirror) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { m.Run(ctx); close(done) }()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+func remove(store kv.Store, key string) {
+	record, err := store.Get(context.Background(), key)
+	Expect(err).NotTo(HaveOccurred())
+	Expect(store.Delete(context.Background(), key, record.Revision)).To(Succeed())
 }
 
 func put(store kv.Store, key, value string) {
@@ -30,9 +42,9 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func values(c mirror.State) map[string]string {
+func values(state mirror.State) map[string]string {
 	all := map[string]string{}
-	for key, record := range c.Records {
+	for key, record := range state.Records {
 		all[key] = string(record.Value)
 	}
 	return all
@@ -40,26 +52,20 @@
 
 var _ = Describe("a mirror", func() {
 	It("follows changes and removals, however slowly it takes them", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			m := &mirror.Mirror{Store: store, BatchDelay: func() time.Duration { return 300 * time.Millisecond }}
-			ctx, cancel := context.WithCancel(context.Background())
-			done := make(chan struct{})
-			go func() { m.Run(ctx); close(done) }()
+			stop := start(m)
 			for n := range 50 {
 				put(store, fmt.Sprint("k", n%10), fmt.Sprint(n))
 				time.Sleep(20 * time.Millisecond)
 			}
-			record, err := store.Get(ctx, "k3")
-			Expect(err).NotTo(HaveOccurred())
-			Expect(store.Delete(ctx, "k3", record.Revision)).To(Succeed())
+			remove(store, "k3")
 			// Many changes must not lag behind one another: a pause covers all that came in it.
 			time.Sleep(700 * time.Millisecond)
 			Expect(values(m.State())).To(HaveLen(9))
 			Expect(values(m.State())["k9"]).To(Equal("49"))
-			cancel()
-			<-done
+			stop()
 		})
 	})
 
@@ -68,16 +74,13 @@
 		put(store, "a", "1")
 		put(store, "b", "1")
 		peer := &mirror.Mirror{Store: store}
-		ctx, cancel := context.WithCancel(context.Background())
-		go peer.Run(ctx)
-		defer cancel()
+		defer start(peer)()
 		Eventually(func() int { return len(peer.State().Records) }).Should(Equal(2))
 		mine := &mirror.Mirror{}
 		Expect(mine.ApplyDelta(*peer.DeltaSince(0))).To(BeTrue())
 		old := *peer.DeltaSince(0)
 		put(store, "a", "2")
-		record, _ := store.Get(ctx, "b")
-		Expect(store.Delete(ctx, "b", record.Revision)).To(Succeed())
+		remove(store, "b")
 		Eventually(func() map[string]string { return values(peer.State()) }).Should(Equal(map[string]string{"a": "2"}))
 		delta := peer.DeltaSince(mine.State().Revision)
 		Expect(delta.Changed).To(HaveLen(1))
@@ -93,28 +96,20 @@
 		Expect(m.State().Revision).To(BeZero())
 	})
 
-	It("tells removals only, also of keys that were made again and after many of them", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+	It("names only the removals, also of keys that were created again and after many of them", func() {
+		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "a", "1")
 			put(store, "b", "1")
-			ctx, cancel := context.WithCancel(context.Background())
 			m := &mirror.Mirror{Store: store}
-			done := make(chan struct{})
-			go func() { m.Run(ctx); close(done) }()
+			stop := start(m)
 			synctest.Wait()
 			early := &mirror.Mirror{}
 			Expect(early.ApplyDelta(*m.DeltaSince(0))).To(BeTrue())
 			lagging := &mirror.Mirror{}
 			Expect(lagging.ApplyDelta(*m.DeltaSince(0))).To(BeTrue())
-			remove := func(key string) {
-				record, err := store.Get(ctx, key)
-				Expect(err).NotTo(HaveOccurred())
-				Expect(store.Delete(ctx, key, record.Revision)).To(Succeed())
-			}
-			remove("a")
-			remove("b")
+			remove(store, "a")
+			remove(store, "b")
 			put(store, "b", "2")
 			synctest.Wait()
 			delta := m.DeltaSince(early.State().Revision)
@@ -124,21 +119,19 @@
 			Expect(values(early.State())).To(Equal(map[string]string{"b": "2"}))
 			for n := range 1500 {
 				put(store, fmt.Sprint("k", n), "1")
-				remove(fmt.Sprint("k", n))
+				remove(store, fmt.Sprint("k", n))
 			}
 			synctest.Wait()
 			delta = m.DeltaSince(lagging.State().Revision)
 			Expect(delta.Whole).To(BeTrue())
 			Expect(lagging.ApplyDelta(*delta)).To(BeTrue())
 			Expect(values(lagging.State())).To(Equal(map[string]string{"b": "2"}))
-			cancel()
-			<-done
+			stop()
 		})
 	})
 
-	It("asks nothing while it rests, and goes on from where peers brought it", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+	It("asks the store nothing while it is paused, and goes on from where peers brought it", func() {
+		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "a", "1")
 			var calls atomic.Int64
@@ -151,14 +144,12 @@
 				calls.Add(1)
 				return store.Watch(ctx, watching)
 			}
-			var resting atomic.Bool
-			resting.Store(true)
-			ctx, cancel := context.WithCancel(context.Background())
-			m := &mirror.Mirror{Store: counted, Paused: resting.Load}
-			done := make(chan struct{})
-			go func() { m.Run(ctx); close(done) }()
+			var paused atomic.Bool
+			paused.Store(true)
+			m := &mirror.Mirror{Store: counted, Paused: paused.Load}
+			stop := start(m)
 			time.Sleep(time.Second)
-			Expect(values(m.State())).To(Equal(map[string]string{"a": "1"}), "a mirror without a copy does not rest")
+			Expect(values(m.State())).To(Equal(map[string]string{"a": "1"}), "a mirror without a copy does not pause")
 			put(store, "a", "2")
 			time.Sleep(time.Second)
 			Expect(values(m.State())).To(Equal(map[string]string{"a": "2"}))
@@ -168,8 +159,7 @@
 			Expect(calls.Load()).To(BeZero())
 			Expect(m.Staleness()).To(BeNumerically(">", 50*time.Second))
 			peer := &mirror.Mirror{Store: store}
-			peerCtx, stopPeer := context.WithCancel(ctx)
-			go peer.Run(peerCtx)
+			stopPeer := start(peer)
 			synctest.Wait()
 			stopPeer()
 			Expect(m.ApplyDelta(*peer.DeltaSince(m.State().Revision))).To(BeTrue())
@@ -178,19 +168,17 @@
 			m.ConfirmCurrent(peer.State().Revision+1, time.Now().Add(time.Hour))
 			Expect(m.Staleness()).To(BeZero())
 			put(store, "b", "1")
-			resting.Store(false)
+			paused.Store(false)
 			time.Sleep(time.Second)
 			Expect(values(m.State())).To(Equal(map[string]string{"a": "3", "b": "1"}))
 			Expect(calls.Load()).To(Equal(int64(1)), "it watches on from where it was brought")
-			cancel()
-			<-done
+			stop()
 		})
 	})
 
 	It("ends at the store's state under lost calls and broken watches", func() {
 		for seed := range uint64(20) {
-			synctest.Test(suiteT, func(*testing.T) {
-				defer GinkgoRecover()
+			spectest.Bubble(func() {
 				random := rand.New(rand.NewPCG(seed, 1))
 				// The mirror's goroutine draws from a source of its own.
 				fates := rand.New(rand.NewPCG(seed, 2))
@@ -209,22 +197,19 @@
 					return store.Watch(ctx, watching)
 				}
 				m := &mirror.Mirror{Store: unreliable}
-				ctx, cancel := context.WithCancel(context.Background())
-				done := make(chan struct{})
-				go func() { m.Run(ctx); close(done) }()
+				stop := start(m)
 				for n := range 100 {
 					put(store, fmt.Sprint("k", random.IntN(8)), fmt.Sprint(n))
 					time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 				}
 				time.Sleep(time.Minute) // A series of refused reads may be long: seed 9 has thirteen.
-				snapshot, _ := store.Snapshot(ctx, "")
+				snapshot, _ := store.Snapshot(context.Background(), "")
 				want := map[string]string{}
 				for _, record := range snapshot.Records {
 					want[record.Key] = string(record.Value)
 				}
 				Expect(values(m.State())).To(Equal(want), "seed %d", seed)
-				cancel()
-				<-done
+				stop()
 			})
 		}
 	})
