--- a/pkg/routing/budget.go
+++ b/pkg/routing/budget.go
@@ -7,42 +7,37 @@
 	"golang.org/x/time/rate"
 )
 
-const (
-	// retryBurst bounds the retries that are saved up, of the share and of the floor each. Chosen,
-	// not measured.
-	retryBurst = 10
-	// retryFloor is the retries a second that are allowed beside the share. Chosen, not measured.
-	retryFloor = 1
-)
-
-// RetryBudget bounds a box's retries to a share of its requests, so that a failing upstream does not
-// multiply the load. It is safe for concurrent use.
-//
-// The retry budget of internal/gateway follows another rule: the node's bound is set for each
-// service over the whole fleet, so that a box has its part of it and no floor of its own. Here the
-// bound is one for all that a box sends, and a quiet box may always retry a little.
+// RetryBudget bounds retries to a share of requests, so that a failing upstream makes no storm.
 type RetryBudget struct {
-	// share of requests that may be retried.
-	share float64
+	// Share of requests that may be retried, such as 0.1.
+	Share float64
 
 	mu     sync.Mutex
 	tokens float64
-	floor  *rate.Limiter
+	// floor lets a quiet box retry at all.
+	floor *rate.Limiter
 }
 
-// NewRetryBudget returns a budget for a share of requests, such as 0.1.
+const (
+	// retryBurst bounds the retries saved up.
+	retryBurst = 10
+	// retryFloor is the retries a second that are always allowed.
+	retryFloor = 1
+)
+
+// NewRetryBudget returns a budget for a share of requests.
 func NewRetryBudget(share float64) *RetryBudget {
-	return &RetryBudget{share: share, floor: rate.NewLimiter(retryFloor, retryBurst)}
+	return &RetryBudget{Share: share, floor: rate.NewLimiter(retryFloor, retryBurst)}
 }
 
-// Request records a request's first attempt.
+// Request notes a first try.
 func (b *RetryBudget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(retryBurst, b.tokens+b.share)
+	b.tokens = min(retryBurst, b.tokens+b.Share)
 }
 
-// Retry takes one retry from the budget and reports whether there was one left.
+// Retry tells whether one more retry is within the budget, and takes it.
 func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/routing/prefixes.go
+++ b/pkg/routing/prefixes.go
@@ -6,35 +6,27 @@
 )
 
 const (
-	// maxEntries bounds the blocks that are remembered. Chosen, not measured.
-	maxEntries = 20_000
-	// blockBytes is the length of prompt that one block stands for. Chosen, not measured.
+	// blockBytes is the length of prompt that one cache entry stands for.
 	blockBytes = 256
-	// maxBlocks bounds how much of a prompt is looked at. Chosen, not measured.
+	// maxBlocks bounds how much of a prompt is looked at.
 	maxBlocks = 16
 )
 
-// prefixIndex remembers the upstream that was sent each block of a prompt last; a block stands for
-// the whole prefix up to its end.
-//
-// The prefix cache of pkg/dispatch follows another rule: it is one model of each engine's memory,
-// fed by all boxes, with the parts and tokens that requests bring. This one knows text only, and
-// what this box sent.
-type prefixIndex struct {
+// prefixes remembers which upstream was last sent each beginning of a prompt.
+type prefixes struct {
 	last *lru.Cache[uint64, string]
 }
 
-func newPrefixIndex() *prefixIndex {
-	last, err := lru.New[uint64, string](maxEntries)
+func newPrefixes(size int) *prefixes {
+	last, err := lru.New[uint64, string](size)
 	if err != nil {
-		panic(err) // Only for a size that is not positive.
+		panic(err) // The size is positive, see New.
 	}
-	return &prefixIndex{last: last}
+	return &prefixes{last: last}
 }
 
-// cachedShares returns the share of the prompt's blocks, from 0 to 1, that each upstream has
-// probably cached.
-func (p *prefixIndex) cachedShares(model, prompt string) map[string]float64 {
+// holders returns the share of the prompt that each upstream probably has cached.
+func (p *prefixes) holders(model, prompt string) map[string]float64 {
 	hashes := blockHashes(model, prompt)
 	shares := map[string]float64{}
 	for i, hash := range hashes {
@@ -47,17 +39,17 @@
 	return shares
 }
 
-// add records that an upstream was sent a prompt.
-func (p *prefixIndex) add(model, prompt, upstream string) {
+// add notes that an upstream was sent a prompt.
+func (p *prefixes) add(model, prompt, upstream string) {
 	for _, hash := range blockHashes(model, prompt) {
 		p.last.Add(hash, upstream)
 	}
 }
 
-// drop drops all blocks of an upstream.
-func (p *prefixIndex) drop(upstream string) {
+// forget drops all that an upstream was sent.
+func (p *prefixes) forget(upstream string) {
 	for _, hash := range p.last.Keys() {
-		if last, ok := p.last.Peek(hash); ok && last == upstream {
+		if holder, ok := p.last.Peek(hash); ok && holder == upstream {
 			p.last.Remove(hash)
 		}
 	}
