--- a/pkg/kv/document_test.go
+++ b/pkg/kv/document_test.go
@@ -16,6 +16,7 @@
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/kv/kvtest"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 // listSize is how many elements the test's list takes.
@@ -85,7 +86,7 @@
 // runWriters has writers add elements through a faulty store; it returns their history and
 // the elements that stand in the end.
 func runWriters(seed uint64, guard bool) (history []porcupine.Operation, final []string) {
-	bubble(func() {
+	spectest.Bubble(func() {
 		memory := kv.NewMemory().Store()
 		store := kvtest.Faulty(memory, chaos(seed))
 		if !guard {
@@ -140,7 +141,7 @@
 	}
 }
 
-// linearizable tells whether a history fits the model, and the end fits the history.
+// linearizable reports whether a history fits the model, and the end fits the history.
 func linearizable(history []porcupine.Operation, final []string) bool {
 	stands := map[string]int{}
 	for _, element := range final {
@@ -158,7 +159,7 @@
 var _ = Describe("A document changed by several writers while answers are lost or late", func() {
 	const seeds = 40
 
-	It("takes each change at most once and tells its outcome truly", func() {
+	It("makes each change at most once and returns its true outcome", func() {
 		for seed := range uint64(seeds) {
 			history, final := runWriters(seed, true)
 			Expect(linearizable(history, final)).To(BeTrue(), "seed %d", seed)
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -15,21 +14,16 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/kv/kvtest"
 	"ospreymoor.example/ospreymoor/pkg/lease"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestLease(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Lease")
-}
+func TestLease(t *testing.T) { spectest.Run(t, "Lease") }
 
 // contest has three processes contend for a lease while calls fail, get lost and are late, and one
-// process after the other is cut off from the store for a while. It returns when two held
+// process after the other is cut off from the store for a while. It returns where two held
 // the lease at once or a term went back, and how many terms there were.
 func contest(seed uint64, margin time.Duration) (found []string, terms int) {
-	synctest.Test(suiteT, func(*testing.T) {
+	spectest.Bubble(func() {
 		memory := kv.NewMemory().Store()
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -89,25 +83,11 @@
 			AnswerLost: random.IntN(10) == 0,
 		}
 	}
-	store := kvtest.Faulty(memory, choose)
-	renew := memory.Renew
-	store.Renew = func(ctx context.Context, id kv.LeaseID) error {
-		fate := choose("renew")
-		time.Sleep(fate.Delay)
-		if fate.Lost {
-			return kv.ErrUnknown
-		}
-		err := renew(ctx, id)
-		if fate.AnswerLost {
-			return kv.ErrUnknown
-		}
-		return err
-	}
-	return store
+	return kvtest.Faulty(memory, choose)
 }
 
 var _ = Describe("A lease", func() {
-	It("has one holder at a time, and terms that only grow, whatever befalls the store's answers", func() {
+	It("has one holder at a time, and terms that only grow, whatever happens to the store's answers", func() {
 		total := 0
 		for seed := range uint64(6) {
 			found, terms := contest(seed, 0)
