--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -10,20 +10,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls that one process makes.
+// Budget bounds the calls that one process makes. `ospreymoor serve` sets it from --kv-reads and
+// --kv-writes; `ospreymoor node` has none and saves calls by pausing its mirror.
 type Budget struct {
-	// ReadsPerSecond and WritesPerSecond are this process's share of the service's rates.
+	// ReadsPerSecond and WritesPerSecond are this process's share of the service's rates. Watches
+	// count as one read each; grants, renewals and revocations as writes.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// Set takes the counters of calls; nil takes the default set.
+	// Set has the counters of calls; nil takes the default set.
 	Set *metrics.Set
 }
 
-// burstSeconds is how much of its share a process may use at once.
+// burstSeconds is how many seconds of its share a process may use at once.
+// Chosen, not measured.
 const burstSeconds = 5
 
-// WithBudget returns store with each call counted and held to the budget.
-// A call that would wait past its deadline fails at once with ErrBudget.
+// WithBudget returns store with each call counted and held to the budget. A call waits for its turn;
+// one that would wait past its deadline fails at once with ErrBudget and is not made.
 func WithBudget(store Store, budget Budget) Store {
 	b := newBudgeted(store, budget)
 	return Store{
@@ -61,6 +64,7 @@
 	}
 }
 
+// take counts a call and waits until the budget allows it.
 func (b *budgeted) take(ctx context.Context, limiter *rate.Limiter, call string) error {
 	b.set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_kv_calls_total{call=%q}", call)).Inc()
 	if err := limiter.Wait(ctx); err != nil {
--- a/pkg/kv/document.go
+++ b/pkg/kv/document.go
@@ -11,19 +11,26 @@
 	"github.com/juju/errors"
 )
 
-// opsKept is how many operation ids a document remembers: more than the writers that can
-// come between a lost answer and the read-back within the time an update may take.
-const opsKept = 64
-
-// Update pauses between tries, doubling up to a bound.
 const (
-	firstPause = 20 * time.Millisecond
-	longPause  = 500 * time.Millisecond
+	// opsKept is how many operation ids a document remembers: more than the writers that can come
+	// between a lost answer and the read-back within the time an update may take.
+	// Chosen, not measured.
+	opsKept = 64
+	// firstRetryPause is the pause after a try that failed; it doubles with each further try, so that
+	// many writers of one document come apart, up to longRetryPause.
+	// Chosen, not measured.
+	firstRetryPause = 20 * time.Millisecond
+	// longRetryPause bounds it.
+	// Chosen, not measured.
+	longRetryPause = 500 * time.Millisecond
 )
 
-// Document is a JSON value that remembers the operations which made it,
-// so that a writer whose answer got lost can find out whether its change took effect,
-// also after others have written on top of it.
+// Document is a JSON value that remembers the operations which made it, so that a writer whose
+// answer got lost can find out whether its change took effect, also after others have written on top
+// of it. Another revision alone does not say: it may be a later writer's, on top of this change.
+//
+// `ospreymoor serve` keeps bundles, claims, intents and the plan in Documents. `ospreymoor node` has
+// no Documents: it writes only its registration, the order lease and the last order holder's name.
 type Document[T any] struct {
 	// Ops are the ids of the latest operations, newest last.
 	Ops  []string `json:"ops"`
@@ -51,12 +58,12 @@
 	return Versioned[T]{Body: document.Body, Revision: record.Revision}, nil
 }
 
-// UpdateDocument changes a document by compare-and-swap until the change has taken effect,
-// change returns an error, or ctx ends. change gets the current body (zero if absent) and
-// returns the next one; it may run several times.
+// UpdateDocument changes a document by compare-and-swap until the change has taken effect, change
+// returns an error, or ctx ends. change gets the current body (zero if absent) and returns the next
+// one; it may run several times.
 //
-// When ctx ends while an answer is outstanding, the error is ErrUnknown. Other errors say
-// that nothing was changed.
+// When ctx ends while it is not known whether a swap took effect, the error is ErrUnknown; when it
+// ends before, ErrUnavailable. Errors of change and the other errors say that nothing was changed.
 func UpdateDocument[T any](ctx context.Context, store Store, key string, change func(T) (T, error)) (Versioned[T], error) {
 	update := update[T]{store: store, key: key, change: change, op: uuid.NewString()}
 	return update.run(ctx)
@@ -68,13 +75,13 @@
 	key    string
 	change func(T) (T, error)
 	op     string
-	// sent tells that a swap has been sent whose fate is not known, and sentFrom its revision.
+	// sent is true once the outcome of a swap is unknown; sentFrom is the latest such swap's revision.
 	sent     bool
 	sentFrom int64
 }
 
 func (u *update[T]) run(ctx context.Context) (Versioned[T], error) {
-	pause := firstPause
+	pause := firstRetryPause
 	for {
 		result, done, err := u.try(ctx)
 		if done {
@@ -85,11 +92,11 @@
 			return Versioned[T]{}, u.giveUp(err)
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, longPause)
+		pause = min(2*pause, longRetryPause)
 	}
 }
 
-// try reads, and then either finds its own operation or swaps. done tells that the result is final.
+// try reads, and then either finds its own operation or swaps. The result is final if done.
 func (u *update[T]) try(ctx context.Context) (result Versioned[T], done bool, err error) {
 	document, revision, err := readDocument[T](ctx, u.store, u.key)
 	if err != nil {
@@ -100,7 +107,7 @@
 	}
 	body, err := u.change(document.Body)
 	if err != nil && u.sent && revision == u.sentFrom {
-		// A swap of ours may still be under way: make sure that it can't take effect any more.
+		// An earlier swap may still be under way: make sure that it can't take effect any more.
 		return u.settleRefusal(ctx, document, revision, err)
 	}
 	if err != nil {
@@ -109,6 +116,8 @@
 	return u.swap(ctx, document, revision, body)
 }
 
+// swap writes the next body. Only a lost answer, a conflict or a service that did not take the call
+// is tried again.
 func (u *update[T]) swap(ctx context.Context, old Document[T], revision int64, body T) (result Versioned[T], done bool, err error) {
 	record, err := u.write(ctx, old, revision, body, u.op)
 	switch {
@@ -124,8 +133,9 @@
 	}
 }
 
-// settleRefusal overwrites the document with itself: after that no earlier swap of ours
-// can take effect any more, since all were from this revision or an older one.
+// settleRefusal returns change's refusal once no earlier swap of this update can take effect any more:
+// it overwrites the document with itself, and all earlier swaps were from this revision or an older
+// one. Where the key is absent there is nothing to overwrite, and the update goes on trying.
 func (u *update[T]) settleRefusal(ctx context.Context, old Document[T], revision int64, refusal error) (result Versioned[T], done bool, err error) {
 	if revision == 0 {
 		return result, false, refusal
@@ -136,6 +146,7 @@
 	return result, true, refusal
 }
 
+// write swaps the body and adds an operation to those that the document remembers.
 func (u *update[T]) write(ctx context.Context, old Document[T], revision int64, body T, op string) (Record, error) {
 	next := Document[T]{Ops: append(slices.Clone(old.Ops), op), Body: body}
 	if extra := len(next.Ops) - opsKept; extra > 0 {
@@ -148,6 +159,7 @@
 	return u.store.Swap(ctx, Swap{Key: u.key, Revision: revision, Value: value})
 }
 
+// giveUp makes the error of an update whose time is over; last is that of its last try.
 func (u *update[T]) giveUp(last error) error {
 	if u.sent {
 		return fmt.Errorf("%v: %w", errors.Annotatef(last, "updating %s", u.key), ErrUnknown)
--- a/pkg/kv/etcd.go
+++ b/pkg/kv/etcd.go
@@ -1,13 +1,8 @@
 package kv
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"fmt"
-	"io"
 	"net/http"
-	"strings"
 	"time"
 
 	"github.com/juju/errors"
@@ -23,9 +18,6 @@
 	PathWatch  = "/v3/watch"
 )
 
-// maxAnswerBytes bounds an answer: a list of full values in base64, at most.
-const maxAnswerBytes = 64 << 20
-
 // EtcdConfig says where the service is and how to reach it.
 type EtcdConfig struct {
 	// URL is the service's base, such as http://127.0.0.1:2379.
@@ -36,9 +28,11 @@
 	CallTimeout time.Duration
 }
 
+// defaultCallTimeout bounds a call where the config gives no bound.
+// Chosen, not measured.
 const defaultCallTimeout = 2 * time.Second
 
-// NewEtcd returns a Store that speaks the etcd v3 API over HTTP and JSON.
+// NewEtcd returns a Store that calls the etcd v3 API over HTTP and JSON, for `ospreymoor serve`.
 func NewEtcd(config EtcdConfig) Store {
 	if config.Client == nil {
 		config.Client = http.DefaultClient
@@ -108,7 +102,7 @@
 	return err
 }
 
-// txn does op if key is at revision.
+// txn does op if the key is at the revision, else ErrConflict.
 func (e *etcd) txn(ctx context.Context, key string, revision int64, op Op) (TxnResponse, error) {
 	request := TxnRequest{
 		Compare: []Compare{{Target: "MOD", Result: "EQUAL", Key: []byte(key), ModRevision: revision}},
@@ -124,6 +118,7 @@
 	return answer, nil
 }
 
+// grant rounds the TTL up to whole seconds, etcd's unit.
 func (e *etcd) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var answer LeaseResponse
 	seconds := int64((ttl + time.Second - 1) / time.Second)
@@ -149,102 +144,6 @@
 	return e.change(ctx, PathRevoke, LeaseRequest{ID: int64(id)}, &answer)
 }
 
-func (e *etcd) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
-	prefix := watching.Prefix
-	create := WatchCreate{Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: watching.From}
-	response, err := e.post(ctx, PathWatch, WatchRequest{Create: create})
-	if err != nil {
-		return nil, fmt.Errorf("%v: %w", errors.Annotatef(err, "watch %s", prefix), ErrUnavailable)
-	}
-	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close()
-		return nil, errors.Annotatef(ErrUnavailable, "watch %s: %s", prefix, response.Status)
-	}
-	events := make(chan []Event)
-	go readWatch(ctx, response.Body, events)
-	return events, nil
-}
-
-// readWatch turns a watch's stream of JSON messages into events until either side ends it.
-func readWatch(ctx context.Context, body io.ReadCloser, events chan<- []Event) {
-	defer close(events)
-	defer func() { _ = body.Close() }()
-	decoder := json.NewDecoder(body)
-	for {
-		var message WatchResponse
-		if decoder.Decode(&message) != nil || message.Result.Canceled {
-			return
-		}
-		batch := make([]Event, len(message.Result.Events))
-		for i, e := range message.Result.Events {
-			batch[i] = Event{Record: e.KV.record(), Deleted: e.Type == "DELETE"}
-		}
-		if len(batch) == 0 {
-			continue
-		}
-		select {
-		case events <- batch:
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// read makes a call that changes nothing: whatever goes wrong, the service was unavailable.
-func (e *etcd) read(ctx context.Context, path string, request, answer any) error {
-	if _, err := e.call(ctx, path, request, answer); err != nil {
-		return fmt.Errorf("%v: %w", errors.Annotatef(err, "calling %s", path), ErrUnavailable)
-	}
-	return nil
-}
-
-// change makes a call that changes something: once it may have been sent, a failure is unknown.
-func (e *etcd) change(ctx context.Context, path string, request, answer any) error {
-	refused, err := e.call(ctx, path, request, answer)
-	if err == nil {
-		return nil
-	}
-	kind := ErrUnknown
-	if refused {
-		kind = ErrUnavailable
-	}
-	return fmt.Errorf("%v: %w", errors.Annotatef(err, "calling %s", path), kind)
-}
-
-// call tells beside the error whether the service refused the call outright.
-func (e *etcd) call(ctx context.Context, path string, request, answer any) (refused bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, e.CallTimeout)
-	defer cancel()
-	response, err := e.post(ctx, path, request)
-	if err != nil {
-		return isDialError(err), err
-	}
-	defer func() { _ = response.Body.Close() }()
-	if response.StatusCode == http.StatusTooManyRequests {
-		return true, errors.Errorf("status %s", response.Status)
-	}
-	if response.StatusCode != http.StatusOK {
-		return false, errors.Errorf("status %s", response.Status)
-	}
-	return false, json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(answer)
-}
-
-func (e *etcd) post(ctx context.Context, path string, request any) (*http.Response, error) {
-	body, err := json.Marshal(request)
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	url := strings.TrimSuffix(e.URL, "/") + path
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	r.Header.Set("Content-Type", "application/json")
-	// A change must never be sent twice behind our back by the transport.
-	r.GetBody = nil
-	return e.Client.Do(r)
-}
-
 // prefixEnd is the first key after all that begin with prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
--- a/pkg/kv/etcd_messages.go
+++ b/pkg/kv/etcd_messages.go
@@ -1,11 +1,5 @@
 package kv
 
-import (
-	"net"
-
-	"github.com/juju/errors"
-)
-
 // The messages below are the used part of etcd's v3 JSON mapping:
 // bytes are base64, 64-bit integers are strings, defaults are left out.
 
@@ -83,7 +77,7 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest; a TTL of 0 says that the lease is gone.
+// LeaseResponse answers a LeaseRequest; a TTL (in seconds) of 0 says that the lease is gone.
 type LeaseResponse struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -119,9 +113,3 @@
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
-
-// isDialError tells that no connection was made, so that nothing can have been sent.
-func isDialError(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
-}
--- a/pkg/kv/kv.go
+++ b/pkg/kv/kv.go
@@ -1,9 +1,13 @@
-// Package kv speaks to the platform's key-value service.
+// Package kv is the port to the platform's key-value service.
 //
-// A Store is a struct of functions, so that another service is one more file
-// and a test can replace a single call. Only what small services have is relied upon:
-// compare-and-swap on one key, leases and watches. Every change is a swap,
-// and an answer that got lost is an outcome of its own: ErrUnknown.
+// A Store is a struct of functions, so that another service is one more file and a test can replace
+// a single call. It relies only on what small services have: compare-and-swap on one key, leases
+// and watches. Every change is a swap, and a lost answer is an outcome of its own: ErrUnknown.
+//
+// Both ways reach the service through a Store. `ospreymoor serve` binds it to etcd's JSON API
+// (NewEtcd, WithBudget, Observed) and keeps Documents in it; `ospreymoor node` binds it to the users'
+// platform (platform/store.go) and uses it by pkg/mirror and pkg/lease. Memory is the service within
+// one process, for tests and stand-ins.
 package kv
 
 import (
@@ -13,10 +17,12 @@
 	"github.com/juju/errors"
 )
 
-// MaxValueBytes is the largest value that the service holds.
+// MaxValueBytes is the largest value that is sent to the service, in bytes.
+// Chosen, not measured.
 const MaxValueBytes = 1 << 20
 
-// Kinds of failure. Each message names what to do next.
+// Kinds of failure. Each message names what to do next. After ErrNotFound, ErrConflict, ErrUnavailable,
+// ErrTooLarge and ErrBudget nothing has changed; only ErrUnknown leaves it open.
 const (
 	// ErrNotFound: the key has no value.
 	ErrNotFound = errors.ConstError("key not found: create it with a swap from revision 0")
@@ -57,10 +63,10 @@
 	Lease LeaseID
 }
 
-// Event is one change that a watch saw.
+// Event is one change of a key.
 type Event struct {
 	Record Record
-	// Deleted tells that the key is gone; Record then has its key and revision only.
+	// Deleted says that the key is gone; Record then has its key and revision only.
 	Deleted bool
 }
 
@@ -71,18 +77,21 @@
 	Revision int64
 }
 
-// Watching says what a watch is told of.
+// Watching says what to watch.
 type Watching struct {
+	// Prefix of the keys; "" is all keys.
 	Prefix string
 	// From is the first revision of interest; 0 is what comes from now on.
 	From int64
-	// Idle is how long a service that answers each question of a watch by itself may hold one
-	// back when there is nothing to tell; nil leaves it to the binding.
+	// Idle returns how long the service may hold back the answer to a poll while nothing changes,
+	// where a watch is a series of polls. nil leaves it to the binding; etcd's watch is a stream and
+	// does not ask for it.
 	Idle func() time.Duration
 }
 
-// Store is the key-value service as the rest of the program sees it.
-// All functions are safe for concurrent use and return errors of the kinds above.
+// Store is the key-value service as the rest of the program sees it. All functions are safe for
+// concurrent use and return errors of the kinds above. Read calls (Get, List, Snapshot, Watch) fail
+// with ErrUnavailable; changes also with ErrUnknown, once they may have been sent.
 type Store struct {
 	// Get reads one key, or returns ErrNotFound.
 	Get func(ctx context.Context, key string) (Record, error)
@@ -90,9 +99,10 @@
 	List func(ctx context.Context, prefix string) ([]Record, error)
 	// Snapshot is List with the revision to watch from.
 	Snapshot func(ctx context.Context, prefix string) (Snapshot, error)
-	// Swap changes one key, and returns the record as it now is.
+	// Swap changes one key, and returns the record as it now is; ErrConflict if the key is at another
+	// revision, ErrTooLarge if the value is over MaxValueBytes.
 	Swap func(ctx context.Context, swap Swap) (Record, error)
-	// Delete removes one key if it is at the revision.
+	// Delete removes one key if it is at the revision; ErrConflict if it is at another one.
 	Delete func(ctx context.Context, key string, revision int64) error
 	// Grant makes a lease that lives for ttl after its last renewal.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
@@ -100,9 +110,9 @@
 	Renew func(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and the keys that die with it.
 	Revoke func(ctx context.Context, id LeaseID) error
-	// Watch sends every change of a prefix from a revision on, in batches as the service tells
-	// them, until ctx ends or the service breaks off; then it closes the channel, and the
-	// caller reads and watches anew. The service is not asked for more before a batch is taken.
-	// An empty batch tells that the service answered and nothing has changed.
+	// Watch sends every change of a prefix from a revision on, in batches as the service answers,
+	// until ctx ends or the service breaks off; then it closes the channel, and the caller reads a
+	// snapshot and watches anew. The service is not asked for more before a batch is received. An
+	// empty batch says that the service answered and nothing has changed.
 	Watch func(ctx context.Context, watching Watching) (<-chan []Event, error)
 }
--- a/pkg/kv/memory.go
+++ b/pkg/kv/memory.go
@@ -13,13 +13,16 @@
 
 // Memory is the service's state machine in this process, for tests and stand-ins.
 type Memory struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// revision is that of the last change.
 	revision int64
 	keys     map[string]memoryKey
 	leases   map[LeaseID]*memoryLease
 	lastID   LeaseID
-	history  []Event
-	changed  chan struct{}
+	// history has all changes, oldest first; it is never compacted.
+	history []Event
+	// changed is closed, and replaced, with each change.
+	changed chan struct{}
 }
 
 type memoryKey struct {
@@ -66,7 +69,7 @@
 	}
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (m *Memory) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,10 +190,10 @@
 	for {
 		m.mu.Lock()
 		m.expire()
-		news, changed := m.history[next:], m.changed
+		batch, changed := m.history[next:], m.changed
 		m.mu.Unlock()
-		next += len(news)
-		batch := slices.DeleteFunc(slices.Clone(news), func(event Event) bool {
+		next += len(batch)
+		batch = slices.DeleteFunc(slices.Clone(batch), func(event Event) bool {
 			return !strings.HasPrefix(event.Record.Key, prefix)
 		})
 		if len(batch) > 0 {
@@ -209,7 +212,8 @@
 	}
 }
 
-// expiryCheckInterval bounds how late a watch sees that a lease has run out.
+// expiryCheckInterval bounds how late a watch sends that a lease has run out.
+// Chosen, not measured.
 const expiryCheckInterval = 250 * time.Millisecond
 
 // expire ends the leases whose time is over. The caller holds the lock.
@@ -222,6 +226,7 @@
 	}
 }
 
+// endLease ends a lease and the keys that die with it. The caller holds the lock.
 func (m *Memory) endLease(id LeaseID) {
 	delete(m.leases, id)
 	if id == 0 {
@@ -234,6 +239,7 @@
 	}
 }
 
+// drop removes a key. The caller holds the lock.
 func (m *Memory) drop(key string) {
 	if _, ok := m.keys[key]; !ok {
 		return
@@ -243,6 +249,7 @@
 	m.publish(Event{Record: Record{Key: key, Revision: m.revision}, Deleted: true})
 }
 
+// publish adds a change to the history and wakes the watches. The caller holds the lock.
 func (m *Memory) publish(event Event) {
 	m.history = append(m.history, event)
 	close(m.changed)
--- a/pkg/kv/observed.go
+++ b/pkg/kv/observed.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Observed returns store with the outcome of each call reported: nil, or the call's error.
+// Observed returns store with the outcome of each call passed to report: nil, or the call's error.
+// `ospreymoor serve` learns by it whether the service answers; on `ospreymoor node` the mirror does.
 func Observed(store Store, report func(error)) Store {
 	return Store{
 		Get: func(ctx context.Context, key string) (Record, error) {
