--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -28,9 +28,9 @@
 	residencies map[string]residency
 	// version is up to where all residency updates are known.
 	version Version
-	// disks say when a model was last listed for the engine at an address.
+	// disks hold when a model was last listed for the engine at an address.
 	disks map[disk]map[string]time.Time
-	// marks say until when an upstream, or a model or adapter of it, counts as unavailable.
+	// marks hold until when an upstream, or a model or adapter of it, counts as unavailable.
 	marks map[mark]time.Time
 	// refusals counts how often in a row an upstream took no connection, by its id.
 	refusals map[string]int
--- a/pkg/fleet/eligible.go
+++ b/pkg/fleet/eligible.go
@@ -36,8 +36,8 @@
 	return adapter == "" || slices.Contains(s.adapters[model], adapter)
 }
 
-// Missing reports whether a mark says that the upstream is unavailable, or lacks the model and
-// adapter that a request needs. Both are "" for a request to a plain service.
+// Missing reports whether a mark is set on the upstream, or on the model and adapter that a request
+// needs. Both are "" for a request to a plain service.
 func (d *Directory) Missing(upstream, model, adapter string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/pkg/kv/document.go
+++ b/pkg/kv/document.go
@@ -27,7 +27,7 @@
 
 // Document is a JSON value that remembers the operations which made it, so that a writer whose
 // answer got lost can find out whether its change took effect, also after others have written on top
-// of it. Another revision alone does not say: it may be a later writer's, on top of this change.
+// of it. Another revision alone is no proof: it may be a later writer's, on top of this change.
 //
 // `ospreymoor serve` keeps bundles, claims, intents and the plan in Documents. `ospreymoor node` has
 // no Documents: it writes only its registration, the order lease and the last order holder's name.
@@ -63,7 +63,7 @@
 // one; it may run several times.
 //
 // When ctx ends while it is not known whether a swap took effect, the error is ErrUnknown; when it
-// ends before, ErrUnavailable. Errors of change and the other errors say that nothing was changed.
+// ends before, ErrUnavailable. Errors of change and the other errors mean that nothing was changed.
 func UpdateDocument[T any](ctx context.Context, store Store, key string, change func(T) (T, error)) (Versioned[T], error) {
 	update := update[T]{store: store, key: key, change: change, op: uuid.NewString()}
 	return update.run(ctx)
--- a/pkg/kv/document_test.go
+++ b/pkg/kv/document_test.go
@@ -24,7 +24,7 @@
 
 var errFull = errors.ConstError("list is full")
 
-// listModel says what adding to a list may return. The state holds the elements in
+// listModel defines what adding to a list may return. The state holds the elements in
 // sorted order; an unknown outcome may be either.
 var listModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{[]string(nil)} },
--- a/pkg/kv/etcd.go
+++ b/pkg/kv/etcd.go
@@ -18,7 +18,7 @@
 	PathWatch  = "/v3/watch"
 )
 
-// EtcdConfig says where the service is and how to reach it.
+// EtcdConfig defines where the service is and how to reach it.
 type EtcdConfig struct {
 	// URL is the service's base, such as http://127.0.0.1:2379.
 	URL string
--- a/pkg/kv/etcd_messages.go
+++ b/pkg/kv/etcd_messages.go
@@ -77,7 +77,7 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest; a TTL (in seconds) of 0 says that the lease is gone.
+// LeaseResponse answers a LeaseRequest; a TTL (in seconds) of 0 means that the lease is gone.
 type LeaseResponse struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -88,7 +88,7 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate says what to watch, and from which revision on.
+// WatchCreate names what to watch, and from which revision on.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
--- a/pkg/kv/etcd_watch.go
+++ b/pkg/kv/etcd_watch.go
@@ -28,7 +28,7 @@
 }
 
 // readWatch sends the events of a watch's stream until either side ends it. An end of the stream, in
-// whatever way, has no error here: the caller reads a snapshot next, whose error says what is wrong.
+// whatever way, has no error here: the caller reads a snapshot next, whose error shows what is wrong.
 func readWatch(ctx context.Context, body io.ReadCloser, events chan<- []Event) {
 	defer close(events)
 	defer func() { _ = body.Close() }()
--- a/pkg/kv/kv.go
+++ b/pkg/kv/kv.go
@@ -66,7 +66,7 @@
 // Event is one change of a key.
 type Event struct {
 	Record Record
-	// Deleted says that the key is gone; Record then has its key and revision only.
+	// Deleted is true if the key is gone; Record then has its key and revision only.
 	Deleted bool
 }
 
@@ -77,7 +77,7 @@
 	Revision int64
 }
 
-// Watching says what to watch.
+// Watching defines what to watch.
 type Watching struct {
 	// Prefix of the keys; "" is all keys.
 	Prefix string
@@ -113,6 +113,6 @@
 	// Watch sends every change of a prefix from a revision on, in batches as the service answers,
 	// until ctx ends or the service breaks off; then it closes the channel, and the caller reads a
 	// snapshot and watches anew. The service is not asked for more before a batch is received. An
-	// empty batch says that the service answered and nothing has changed.
+	// empty batch means that the service answered and nothing has changed.
 	Watch func(ctx context.Context, watching Watching) (<-chan []Event, error)
 }
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -19,7 +19,7 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// ErrNotHeld says that this process has no right to act at the moment.
+// ErrNotHeld means that this process has no right to act at the moment.
 const ErrNotHeld = errors.ConstError("lease not held: send the work to the box that holds it")
 
 const (
@@ -43,7 +43,7 @@
 	retriesAfterTTL = 2
 )
 
-// Config says which lease to hold and how.
+// Config defines which lease to hold and how.
 type Config struct {
 	Store kv.Store
 	// Key is the lease's place in the store, such as leases/planner.
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -38,13 +38,8 @@
 		var highest int64
 		for range 20 * 60 * 10 { // Ten minutes.
 			time.Sleep(50 * time.Millisecond)
-			holders := 0
-			for _, l := range contenders {
-				term, err := l.Term()
-				if err != nil {
-					continue
-				}
-				holders++
+			held := termsHeld(contenders)
+			for _, term := range held {
 				if term < highest {
 					found = append(found, fmt.Sprintf("term %d after %d", term, highest))
 				}
@@ -53,8 +48,8 @@
 					terms++
 				}
 			}
-			if holders > 1 {
-				found = append(found, fmt.Sprintf("%d holders at once", holders))
+			if len(held) > 1 {
+				found = append(found, fmt.Sprintf("%d holders at once", len(held)))
 			}
 		}
 		cancel()
@@ -64,6 +59,17 @@
 	return found, terms
 }
 
+// termsHeld returns the terms under which contenders may act now.
+func termsHeld(contenders []*lease.Lease) []int64 {
+	var held []int64
+	for _, l := range contenders {
+		if term, err := l.Term(); err == nil {
+			held = append(held, term)
+		}
+	}
+	return held
+}
+
 // faulty is one process's store: cut off for a while now and then, and unreliable in between.
 func faulty(memory kv.Store, seed uint64, contender int) kv.Store {
 	random := rand.New(rand.NewPCG(seed, uint64(contender)))
--- a/pkg/mirror/follow.go
+++ b/pkg/mirror/follow.go
@@ -21,7 +21,7 @@
 	// pausedCheck is how often a paused mirror looks whether it should ask again.
 	// Chosen, not measured.
 	pausedCheck = 100 * time.Millisecond
-	// lostRetry is how often a paused mirror asks a service that it lost, so that this box can say
+	// lostRetry is how often a paused mirror asks a service that it lost, so that this box knows
 	// whether it reaches the service.
 	// Chosen, not measured.
 	lostRetry = 2 * time.Second
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -53,7 +53,7 @@
 	connection connection
 }
 
-// freshness says when the copy was last known to be current; zero times are never.
+// freshness is when the copy was last known to be current; zero times are never.
 type freshness struct {
 	// byStore is when the service itself last confirmed it.
 	byStore time.Time
@@ -61,7 +61,7 @@
 	byAny time.Time
 }
 
-// connection says how the calls to the service went.
+// connection is how the calls to the service went.
 type connection struct {
 	// lost is true while the latest call failed.
 	lost bool
@@ -126,8 +126,8 @@
 	return m.connection.lost
 }
 
-// noteConnectivity notes how a call went. Only losing and regaining the service are passed on: the
-// errors of further calls while it is lost say nothing new.
+// noteConnectivity notes how a call went. Only losing and regaining the service are passed on, not the
+// errors of further calls while it is lost.
 func (m *Mirror) noteConnectivity(err error) {
 	m.mu.Lock()
 	was := m.connection.lost
