--- a/pkg/kv/document.go
+++ b/pkg/kv/document.go
@@ -9,6 +9,8 @@
 
 	"github.com/google/uuid"
 	"github.com/juju/errors"
+
+	"ospreymoor.example/ospreymoor/pkg/pause"
 )
 
 const (
@@ -81,18 +83,16 @@
 }
 
 func (u *update[T]) run(ctx context.Context) (Versioned[T], error) {
-	pause := firstRetryPause
+	wait := firstRetryPause
 	for {
 		result, done, err := u.try(ctx)
 		if done {
 			return result, err
 		}
-		select {
-		case <-ctx.Done():
+		if pause.For(ctx, wait) != nil {
 			return Versioned[T]{}, u.giveUp(err)
-		case <-time.After(pause):
 		}
-		pause = min(2*pause, longRetryPause)
+		wait = min(2*wait, longRetryPause)
 	}
 }
 
