--- a/pkg/fleet/marks.go
+++ b/pkg/fleet/marks.go
@@ -9,8 +9,7 @@
 }
 
 const (
-	// missTime is how long a model or adapter that an engine answered to lack counts as missing: the
-	// list and the residency updates correct the directory in about that time.
+	// missTime is how long a model or adapter counts as missing that an engine answered to lack.
 	// Chosen, not measured.
 	missTime = 400 * time.Millisecond
 	// goneTime is how long an upstream gets nothing at whose address another one answered.
--- a/pkg/fleet/residency.go
+++ b/pkg/fleet/residency.go
@@ -3,8 +3,8 @@
 // Residency is what the order holder publishes of one engine: what its orders changed that the list
 // does not show yet. A later residency of the engine replaces it whole.
 type Residency struct {
-	// Adapters that are loaded, by model. They replace the list's, since adapters are paged faster
-	// than entries are written.
+	// Adapters that are loaded, by model. They replace the list's, which lags behind the
+	// orders.
 	Adapters map[string][]string `json:"adapters,omitempty"`
 	// Withdrawn models are about to be unloaded. They get nothing new, so that their running requests
 	// end before the order is sent.
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -26,8 +26,8 @@
 	// defaultTTL is the TTL where the config gives none; both ways give one.
 	// Chosen, not measured.
 	defaultTTL = 6 * time.Second
-	// renewalsPerTTL is how many times in a TTL the lease is looked after: two renewals may fail
-	// before the third is late. It also bounds the call that revokes the lease.
+	// renewalsPerTTL is how many times in a TTL the lease is looked after, jitter apart. The call that
+	// revokes the lease may take the same part of the TTL.
 	// Chosen, not measured.
 	renewalsPerTTL = 3
 	// marginsPerTTL is the TTL by the margin where the config gives none.
