--- a/pkg/residency/demand.go
+++ b/pkg/residency/demand.go
@@ -12,22 +12,25 @@
 }
 
 const (
-	// bucketSpan is the time of one bucket of demand.
+	// bucketSpan is the time of one bucket of demand. Chosen, not measured.
 	bucketSpan = 250 * time.Millisecond
-	// slowBuckets and fastBuckets are how many buckets the two rates reach back.
+	// slowBuckets is how many buckets the slow rate is the mean of: 5 s. Chosen, not measured.
 	slowBuckets = 20
+	// fastBuckets is how many buckets the fast rate is the mean of: 2.5 s. Chosen, not measured.
 	fastBuckets = 10
-	// ahead is how far a rise is drawn out, in the distance between the two rates' middles.
-	ahead = 1.0
+	// trendWeight is the part of a rise, fast rate less slow rate, that is expected once more.
+	// Chosen, not measured.
+	trendWeight = 1.0
 )
 
-// Demand measures how much work is asked of each model: milliseconds of one engine's time a
+// Demand estimates how much work is asked of each model, in milliseconds of one engine's time a
 // millisecond. It is safe for concurrent use.
 type Demand struct {
 	mu sync.Mutex
-	// ring holds the work noted in each bucket; at is the number of the newest.
-	ring [slowBuckets]map[ModelKey]float64
-	at   int64
+	// buckets is a ring of the work noted, in milliseconds.
+	buckets [slowBuckets]map[ModelKey]float64
+	// newest is the number of the newest bucket, in bucketSpan since 1970.
+	newest int64
 }
 
 // Note adds work, in milliseconds of an engine's time.
@@ -35,7 +38,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.advance(now)
-	bucket := d.ring[d.at%slowBuckets]
+	bucket := d.buckets[d.newest%slowBuckets]
 	for key, milliseconds := range work {
 		bucket[key] += milliseconds
 	}
@@ -44,42 +47,53 @@
 // advance makes the bucket of now the newest one. The caller holds the lock.
 func (d *Demand) advance(now time.Time) {
 	number := now.UnixNano() / int64(bucketSpan)
-	if d.at == 0 || number-d.at > slowBuckets {
-		d.at = number - slowBuckets
+	if d.newest == 0 || number-d.newest > slowBuckets {
+		d.newest = number - slowBuckets
 	}
-	for d.at < number {
-		d.at++
-		d.ring[d.at%slowBuckets] = map[ModelKey]float64{}
+	for d.newest < number {
+		d.newest++
+		d.buckets[d.newest%slowBuckets] = map[ModelKey]float64{}
 	}
-	if d.ring[d.at%slowBuckets] == nil {
-		d.ring[d.at%slowBuckets] = map[ModelKey]float64{}
+	if d.buckets[d.newest%slowBuckets] == nil {
+		d.buckets[d.newest%slowBuckets] = map[ModelKey]float64{}
 	}
 }
 
-// Rates returns the work that each model will probably be asked for.
+// Rates returns the work that each model will probably be asked for, 1 being all of one engine's
+// time. Models without work in the last slowBuckets are missing.
 func (d *Demand) Rates(now time.Time) map[ModelKey]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.advance(now)
-	fast, slow := map[ModelKey]float64{}, map[ModelKey]float64{}
+	fast, slow := d.sums()
+	const milliseconds = float64(bucketSpan / time.Millisecond)
+	rates := make(map[ModelKey]float64, len(slow))
+	for key := range slow {
+		slowRate := slow[key] / (slowBuckets * milliseconds)
+		fastRate := fast[key] / (fastBuckets * milliseconds)
+		rates[key] = expectedRate(fastRate, slowRate)
+	}
+	return rates
+}
+
+// sums adds up the work of the last fastBuckets and of all buckets. The caller holds the lock.
+func (d *Demand) sums() (fast, slow map[ModelKey]float64) {
+	fast, slow = map[ModelKey]float64{}, map[ModelKey]float64{}
 	for back := range int64(slowBuckets) {
-		for key, work := range d.ring[(d.at-back)%slowBuckets] {
+		for key, work := range d.buckets[(d.newest-back)%slowBuckets] {
 			slow[key] += work
 			if back < fastBuckets {
 				fast[key] += work
 			}
 		}
 	}
-	const milliseconds = float64(bucketSpan / time.Millisecond)
-	rates := make(map[ModelKey]float64, len(slow))
-	for key := range slow {
-		slowRate := slow[key] / (slowBuckets * milliseconds)
-		fastRate := fast[key] / (fastBuckets * milliseconds)
-		if fastRate > slowRate {
-			rates[key] = fastRate + ahead*(fastRate-slowRate)
-		} else {
-			rates[key] = (fastRate + slowRate) / 2
-		}
+	return fast, slow
+}
+
+// expectedRate continues a rise, since a load takes seconds; of a fall only half counts.
+func expectedRate(fast, slow float64) float64 {
+	if fast > slow {
+		return fast + trendWeight*(fast-slow)
 	}
-	return rates
+	return (fast + slow) / 2
 }
