--- a/pkg/residency/controller_test.go
+++ b/pkg/residency/controller_test.go
@@ -113,8 +113,8 @@
 	return report
 }
 
-// world is a few fake engines with a controller.
-type world struct {
+// testFleet is a few fake engines with a controller.
+type testFleet struct {
 	engines    map[string]*fakeEngine
 	directory  *fleet.Directory
 	controller *residency.Controller
@@ -128,8 +128,8 @@
 
 var errLost = errors.New("no answer")
 
-func newWorld(seed uint64, faults float64) *world {
-	w := &world{
+func newTestFleet(seed uint64, faults float64) *testFleet {
+	t := &testFleet{
 		engines: map[string]*fakeEngine{}, directory: fleet.New(), demand: &residency.Demand{},
 		random: rand.New(rand.NewPCG(seed, 7)), faults: faults,
 	}
@@ -143,58 +143,58 @@
 	}
 	table := routes.New(1, nil, []routes.Service{service}, routes.Limits{})
 	for n := range 3 {
-		w.engines[fmt.Sprint("e", n)] = &fakeEngine{models: map[string][]string{fmt.Sprint("m", n): nil}}
+		t.engines[fmt.Sprint("e", n)] = &fakeEngine{models: map[string][]string{fmt.Sprint("m", n): nil}}
 	}
-	w.controller = residency.New(residency.Config{
-		Holder: "n", Directory: w.directory, Table: func() *routes.Table { return table },
-		Engines: residency.Engines{Order: w.order, Report: w.report},
+	t.controller = residency.New(residency.Config{
+		Holder: "n", Directory: t.directory, Table: func() *routes.Table { return table },
+		Engines: residency.Engines{Order: t.order, Report: t.report},
 		Term:    func() (int64, error) { return 4, nil },
-		Demand:  w.demand, MoveCost: 0.03, Log: zap.NewNop(),
+		Demand:  t.demand, MoveCost: 0.03, Log: zap.NewNop(),
 	})
-	w.list()
-	return w
+	t.list()
+	return t
 }
 
-// list tells the directory what the engines hold.
-func (w *world) list() {
-	w.revision++
+// list puts what the engines hold into the directory.
+func (t *testFleet) list() {
+	t.revision++
 	var list []fleet.Upstream
-	for id, engine := range w.engines {
-		list = append(list, fleet.Upstream{ID: id, Service: "s", Hall: id, Slots: 8, Models: engine.report().Models, Revision: w.revision})
+	for id, engine := range t.engines {
+		list = append(list, fleet.Upstream{ID: id, Service: "s", Hall: id, Slots: 8, Models: engine.report().Models, Revision: t.revision})
 	}
-	w.directory.SetList(w.revision, list, time.Time{})
+	t.directory.SetList(t.revision, list, time.Time{})
 }
 
-func (w *world) draw() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.Float64()
+func (t *testFleet) draw() float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.random.Float64()
 }
 
 // order passes an order on, or loses it, its answer, or has it done late.
-func (w *world) order(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
-	engine := w.engines[to.ID]
-	if w.draw() >= w.faults {
+func (t *testFleet) order(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
+	engine := t.engines[to.ID]
+	if t.draw() >= t.faults {
 		return engine.order(order), nil
 	}
-	switch kind := w.draw(); {
+	switch kind := t.draw(); {
 	case kind < 0.3:
 	case kind < 0.6:
 		engine.order(order)
 	default:
-		time.AfterFunc(time.Duration(2+10*w.draw())*time.Second, func() { engine.order(order) })
+		time.AfterFunc(time.Duration(2+10*t.draw())*time.Second, func() { engine.order(order) })
 	}
 	<-ctx.Done()
 	return residency.Unanswered, errLost
 }
 
-func (w *world) report(_ context.Context, of fleet.Upstream) (residency.Report, error) {
-	return w.engines[of.ID].report(), nil
+func (t *testFleet) report(_ context.Context, of fleet.Upstream) (residency.Report, error) {
+	return t.engines[of.ID].report(), nil
 }
 
-func (w *world) overfull() []string {
+func (t *testFleet) overfull() []string {
 	var all []string
-	for _, engine := range w.engines {
+	for _, engine := range t.engines {
 		engine.mu.Lock()
 		all = append(all, engine.overfull...)
 		engine.mu.Unlock()
@@ -203,21 +203,21 @@
 }
 
 // live has requests for models and adapters come for a while, the list lagging behind.
-func (w *world) live(span time.Duration, lag time.Duration) (served, asked int) {
+func (t *testFleet) live(span time.Duration, lag time.Duration) (served, asked int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { w.controller.Run(ctx); close(done) }()
+	go func() { t.controller.Run(ctx); close(done) }()
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		model, adapter := fmt.Sprint("m", int(7*w.draw())), ""
-		if w.draw() < 0.6 {
-			adapter = fmt.Sprint("a", int(5*w.draw()))
+		model, adapter := fmt.Sprint("m", int(7*t.draw())), ""
+		if t.draw() < 0.6 {
+			adapter = fmt.Sprint("a", int(5*t.draw()))
 		}
 		asking.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			defer cancel()
-			ensured, _ := w.controller.Ensure(callCtx, "s", model, adapter)
+			ensured, _ := t.controller.Ensure(callCtx, "s", model, adapter)
 			mu.Lock()
 			defer mu.Unlock()
 			asked++
@@ -225,8 +225,8 @@
 				served++
 			}
 		})
-		w.demand.Note(map[residency.ModelKey]float64{{Service: "s", Model: model}: 20}, time.Now())
-		time.AfterFunc(lag, w.listSafely)
+		t.demand.Note(map[residency.ModelKey]float64{{Service: "s", Model: model}: 20}, time.Now())
+		time.AfterFunc(lag, t.listSafely)
 	}
 	asking.Wait()
 	cancel()
@@ -235,22 +235,22 @@
 	return served, asked
 }
 
-func (w *world) listSafely() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.list()
+func (t *testFleet) listSafely() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.list()
 }
 
 var _ = Describe("a controller", func() {
 	It("pages adapters and loads models, none twice at once and never more than fits", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
-			w := newWorld(1, 0)
-			served, asked := w.live(2*time.Minute, 100*time.Millisecond)
-			Expect(w.overfull()).To(BeEmpty())
+			t := newTestFleet(1, 0)
+			served, asked := t.live(2*time.Minute, 100*time.Millisecond)
+			Expect(t.overfull()).To(BeEmpty())
 			Expect(served).To(BeNumerically(">", asked/4))
 			all := map[string]bool{}
-			for _, engine := range w.engines {
+			for _, engine := range t.engines {
 				for model := range engine.models {
 					all[model] = true
 				}
@@ -263,9 +263,9 @@
 		for seed := range uint64(12) {
 			synctest.Test(suiteT, func(*testing.T) {
 				defer GinkgoRecover()
-				w := newWorld(seed, 0.3)
-				w.live(2*time.Minute, time.Duration(seed)*300*time.Millisecond)
-				Expect(w.overfull()).To(BeEmpty(), "seed %d", seed)
+				t := newTestFleet(seed, 0.3)
+				t.live(2*time.Minute, time.Duration(seed)*300*time.Millisecond)
+				Expect(t.overfull()).To(BeEmpty(), "seed %d", seed)
 			})
 		}
 	})
@@ -273,12 +273,12 @@
 	It("makes room for an adapter without delay", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
-			w := newWorld(1, 0)
+			t := newTestFleet(1, 0)
 			ensure := func(adapter string) time.Duration {
 				begun := time.Now()
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				ensured, err := w.controller.Ensure(ctx, "s", "m0", adapter)
+				ensured, err := t.controller.Ensure(ctx, "s", "m0", adapter)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(ensured.Upstream).To(Equal("e0"))
 				return time.Since(begun)
@@ -290,25 +290,25 @@
 				time.Sleep(time.Second)
 				Expect(ensure(fmt.Sprint("a", n))).To(BeNumerically("<", 50*time.Millisecond))
 			}
-			Expect(w.overfull()).To(BeEmpty())
+			Expect(t.overfull()).To(BeEmpty())
 		})
 	})
 
 	It("pages an adapter on another engine when one takes long, and prefers those that answer", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
-			w := newWorld(1, 0)
-			w.engines["e1"].models["m0"] = nil
-			w.list()
+			t := newTestFleet(1, 0)
+			t.engines["e1"].models["m0"] = nil
+			t.list()
 			// The stuck engine has nothing running, the other one does: it is chosen first.
-			w.controller.Running = func(backend string) int { return map[string]int{"e1": 5}[backend] }
+			t.controller.Running = func(upstream string) int { return map[string]int{"e1": 5}[upstream] }
 			asked := map[string]int{}
-			w.controller.Engines.Order = func(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
-				w.mu.Lock()
+			t.controller.Engines.Order = func(ctx context.Context, to fleet.Upstream, order residency.Order) (residency.Result, error) {
+				t.mu.Lock()
 				asked[to.ID]++
-				w.mu.Unlock()
+				t.mu.Unlock()
 				if to.ID != "e0" {
-					return w.engines[to.ID].order(order), nil
+					return t.engines[to.ID].order(order), nil
 				}
 				<-ctx.Done()
 				return residency.Unanswered, errLost
@@ -317,46 +317,46 @@
 				begun := time.Now()
 				ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 				defer cancel()
-				ensured, err := w.controller.Ensure(ctx, "s", "m0", adapter)
+				ensured, err := t.controller.Ensure(ctx, "s", "m0", adapter)
 				Expect(err).NotTo(HaveOccurred())
 				return ensured.Upstream, time.Since(begun)
 			}
-			backend, took := ensure("a0")
-			Expect(backend).To(Equal("e1"))
+			upstream, took := ensure("a0")
+			Expect(upstream).To(Equal("e1"))
 			Expect(took).To(BeNumerically("<", 150*time.Millisecond))
 			askedOf := func(id string) int {
-				w.mu.Lock()
-				defer w.mu.Unlock()
+				t.mu.Lock()
+				defer t.mu.Unlock()
 				return asked[id]
 			}
 			time.Sleep(500 * time.Millisecond)
 			before := askedOf("e0")
-			backend, took = ensure("a1")
-			Expect(backend).To(Equal("e1"))
+			upstream, took = ensure("a1")
+			Expect(upstream).To(Equal("e1"))
 			Expect(took).To(BeNumerically("<", 50*time.Millisecond))
 			Expect(askedOf("e0")).To(BeNumerically("<=", before+1), "only what was begun there goes on")
 			time.Sleep(time.Minute)
 		})
 	})
 
-	It("does not count the copies of engines that nobody gets an answer from", func() {
+	It("does not count the replicas of engines that do not answer", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
-			w := newWorld(1, 0)
-			w.controller.Unresponsive = func(backend string) bool { return backend == "e0" }
-			_, err := w.controller.Ensure(context.Background(), "s", "m0", "a0")
+			t := newTestFleet(1, 0)
+			t.controller.Unresponsive = func(upstream string) bool { return upstream == "e0" }
+			_, err := t.controller.Ensure(context.Background(), "s", "m0", "a0")
 			Expect(err).To(MatchError(residency.ErrNoPlace))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
-			go func() { w.controller.Run(ctx); close(done) }()
+			go func() { t.controller.Run(ctx); close(done) }()
 			time.Sleep(10 * time.Second)
-			w.listSafely()
+			t.listSafely()
 			time.Sleep(time.Second)
 			cancel()
 			<-done
 			held := map[string]bool{}
 			for _, id := range []string{"e1", "e2"} {
-				for model := range w.engines[id].models {
+				for model := range t.engines[id].models {
 					held[model] = true
 				}
 			}
@@ -366,16 +366,16 @@
 	})
 
 	It("gives no order without the lease", func() {
-		w := newWorld(1, 0)
-		w.controller.Term = func() (int64, error) { return 0, residency.ErrNotHolder }
-		_, err := w.controller.Ensure(context.Background(), "s", "m0", "a1")
+		t := newTestFleet(1, 0)
+		t.controller.Term = func() (int64, error) { return 0, residency.ErrNotHolder }
+		_, err := t.controller.Ensure(context.Background(), "s", "m0", "a1")
 		Expect(err).To(MatchError(residency.ErrNotHolder))
-		Expect(w.engines["e0"].taken).To(BeZero())
+		Expect(t.engines["e0"].taken).To(BeZero())
 	})
 
-	It("says of a model that it does not know that it does not", func() {
-		w := newWorld(1, 0)
-		_, err := w.controller.Ensure(context.Background(), "s", "nobody", "")
+	It("refuses a model that is not in the configuration", func() {
+		t := newTestFleet(1, 0)
+		_, err := t.controller.Ensure(context.Background(), "s", "nobody", "")
 		Expect(err).To(MatchError(residency.ErrUnknownModel))
 	})
 })
--- a/pkg/residency/plan_test.go
+++ b/pkg/residency/plan_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("a plan", func() {
-	It("loads a model that no engine holds, that was asked for first", func() {
+	It("loads first a model that was asked for while no engine held it", func() {
 		in := planInput()
 		in.Moves = 1
 		in.Engines = []residency.PlanEngine{{ID: "e1", Usable: true}}
@@ -40,7 +40,7 @@
 		Expect(moves[0].Model).To(Equal("z"))
 	})
 
-	It("never takes a last confirmed copy away, though another is being loaded", func() {
+	It("never evicts a last confirmed replica, though another one is being loaded", func() {
 		in := planInput()
 		in.Engines = []residency.PlanEngine{
 			{ID: "e1", Usable: true, Models: []string{"a", "b", "c"}},
@@ -52,7 +52,7 @@
 		}
 	})
 
-	It("adds copies of what is busy and takes spare ones of what is not", func() {
+	It("adds replicas of busy models and evicts spare ones of idle models", func() {
 		in := planInput()
 		in.Engines = []residency.PlanEngine{
 			{ID: "e1", Hall: "z1", Usable: true, Models: []string{"busy", "quiet", "x"}},
@@ -66,7 +66,7 @@
 		Expect(moves[0].Evict).To(Equal([]string{"quiet"}))
 	})
 
-	It("leaves things as they are where a move gains little, or was made just now", func() {
+	It("moves nothing where the benefit is small, and evicts no model that was just loaded", func() {
 		in := planInput()
 		in.Engines = []residency.PlanEngine{
 			{ID: "e1", Usable: true, Models: []string{"a"}},
@@ -104,14 +104,14 @@
 		moves := residency.Plan(in)
 		Expect(moves).To(HaveLen(1))
 		Expect(moves[0].Engine).To(Equal("e3"))
-		By("adding a copy of a very busy model before the first one of a model that is asked for now and then")
+		By("adding a replica of a very busy model before the first one of a model that is rarely asked for")
 		in.StoreLoads = 1
 		in.Engines[0].Models = []string{"busy"}
 		rare := planModel("a", 0.01)
 		rare.Missed = true
 		in.Models = append(in.Models[1:], rare, planModel("busy", 3))
 		Expect(residency.Plan(in)[0].Model).To(Equal("busy"))
-		By("and before that the first copy of one that is asked for often")
+		By("adding before that the first replica of a model that is often asked for")
 		in.Models[2].Demand = 1.5
 		Expect(residency.Plan(in)[0].Model).To(Equal("a"))
 	})
@@ -163,7 +163,7 @@
 					used -= size[name]
 					held[name]--
 					if held[name] < 1 {
-						t.Fatalf("last copy of %s lost by %+v", name, move)
+						t.Fatalf("last replica of %s lost by %+v", name, move)
 					}
 				}
 				if used > in.Megabytes {
