--- a/pkg/residency/replicaworth.go
+++ b/pkg/residency/replicaworth.go
@@ -13,8 +13,9 @@
 	// demandWorth is added to it for each unit of the model's demand. Chosen (commit 716f2f0).
 	demandWorth = 3
 	// hallBonus is the worth of a busy model's first replica in a hall, in squared engine time for
-	// each unit of the model's demand: a hall that is cut off serves only what it holds. Measured:
-	// mean worth of three days 0.664 at 0.05 and 0.679 at 0.25 (commit 6543eb2).
+	// each unit of the model's demand: a hall that is cut off serves only what it holds. Measured
+	// against 0.05: mean worth 0.664 to 0.679 and 0.687 to 0.691 on mk-ospreymoor, 0.712 to 0.708 on
+	// sv-airmaps; the noise is 0.007 (commit 6543eb2).
 	hallBonus = 0.25
 	// freeMemoryCost is the part of a move's cost that counts if nothing is evicted. Chosen, not
 	// measured.
