--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -57,7 +57,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		if f.refusing.Load() {
-			notRun(reasonStopping, soon).write(w)
+			notRun(reasonStopping, 0).write(w)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -22,14 +22,14 @@
 			return choice, nil
 		}
 		if why == "" {
-			return choice, r.giveUp(reasonFull, r.comeBack(choice))
+			return choice, r.unserved(reasonFull, r.comeBack(choice))
 		}
 		wait, refused := r.provide(ctx, why)
 		if refused != nil {
 			return choice, refused
 		}
 		if err := pause.For(ctx, wait); err != nil {
-			return choice, r.over(ctx)
+			return choice, r.ended(ctx)
 		}
 	}
 }
@@ -38,8 +38,6 @@
 	// admitShare is how long a first token may take, by the target, for a request to be admitted:
 	// what comes later than that only holds up the others.
 	admitShare = 1.15
-	// leastComeBack is the least time to come back when engines are full.
-	leastComeBack = 150 * time.Millisecond
 )
 
 // admits tells whether the best back end will answer soon enough. A stream that goes on is not
@@ -53,7 +51,7 @@
 
 // comeBack is when the best back end will probably have room.
 func (r *run) comeBack(choice dispatch.Choice) time.Duration {
-	return max(leastComeBack, choice.Wait-r.route.Target/2)
+	return choice.Wait - r.route.Target/2
 }
 
 // choose picks among the back ends that have what the request needs; why tells what is lacking.
@@ -87,9 +85,9 @@
 	}
 	switch {
 	case !present:
-		return dispatch.Choice{}, reasonNoBackend
+		return dispatch.Choice{}, reasonNoUpstream
 	case r.need.Model == "":
-		return dispatch.Choice{}, reasonNoBackend
+		return dispatch.Choice{}, reasonNoUpstream
 	case !holdModel:
 		return dispatch.Choice{}, reasonNoModel
 	case holdAdapter:
@@ -109,9 +107,9 @@
 // refuses the request if that is longer than it may wait.
 func (r *run) provide(ctx context.Context, why reason) (time.Duration, *refusal) {
 	left := time.Until(r.patience)
-	if why == reasonNoBackend {
+	if why == reasonNoUpstream {
 		if left < retryWait {
-			return 0, r.giveUp(why, soon)
+			return 0, r.unserved(why, 0)
 		}
 		return retryWait, nil
 	}
@@ -119,7 +117,7 @@
 		r.missed()
 	}
 	if left <= 0 {
-		return 0, r.giveUp(why, soon)
+		return 0, r.unserved(why, 0)
 	}
 	askCtx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
@@ -129,7 +127,7 @@
 		return 0, nil
 	}
 	if ctx.Err() != nil {
-		return 0, r.over(ctx)
+		return 0, r.ended(ctx)
 	}
 	left = time.Until(r.patience)
 	wait := max(retryWait, min(ensured.Ready, left/2))
@@ -137,7 +135,7 @@
 		r.gateway.Log.Info("not provided", zap.String("id", r.request.ID), zap.String("model", r.need.Model),
 			zap.String("adapter", r.need.Adapter), zap.Duration("ready", ensured.Ready),
 			zap.Int64("term", ensured.Term), logfield.Error(err))
-		return 0, r.giveUp(why, max(soon, ensured.Ready))
+		return 0, r.unserved(why, ensured.Ready)
 	}
 	return wait, nil
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -9,90 +9,82 @@
 	"strconv"
 
 	"github.com/juju/errors"
+
+	"ospreymoor.example/ospreymoor/pkg/dispatch"
 )
 
-// maxHeldAnswer is the size up to which a plain answer is held until it is whole, so that a
-// broken one can be replaced by another back end's.
+// maxHeldAnswer is the size in bytes up to which a plain answer is held until it is whole, so that a
+// broken one can be replaced by another upstream's. A longer one is passed on as it comes.
+// Chosen, not measured (commit bc3a7c4).
 const maxHeldAnswer = 1 << 20
 
 // servePlain answers a request whose answer comes in one piece.
 func (r *run) servePlain(ctx context.Context, w http.ResponseWriter) error {
-	why := reasonBroken
-	// failed is the last failure that a back end answered; it goes to the caller if no other
-	// back end does better.
+	// failed is the latest failure that an upstream answered; it goes to the caller if no other
+	// upstream does better.
 	var failed *heldAnswer
+	lastFailure := reasonBroken
 	for {
-		allowed, short := r.maySend()
-		if !allowed {
-			return r.finish(w, failed, r.exhausted(why, short))
+		if denied := r.takeAttempt(); denied != "" {
+			return r.finish(w, failed, r.deniedRefusal(denied, lastFailure))
 		}
 		choice, refused := r.pick(ctx)
 		if refused != nil {
 			return r.finish(w, failed, refused)
 		}
-		answer, ticket, err := r.send(ctx, choice, "")
-		if err == nil && !answer.NotExecuted {
-			ticket.Started()
-			var held *heldAnswer
-			held, err = hold(answer)
-			ticket.End()
-			if err == nil && r.settles(held) {
-				if held.status < http.StatusInternalServerError {
-					r.gateway.Loads.RecordOutcome(r.last, true)
-				}
-				return r.finish(w, held, nil)
-			}
-			if err == nil {
-				failed = held
-				continue
-			}
-			r.gateway.Loads.RecordOutcome(r.last, false)
-			r.logAttempt(choice, answer.Status, 0, err)
-		} else if err == nil {
-			discard(answer)
-		}
-		ticket.End()
-		if ctx.Err() != nil {
-			return r.finish(w, nil, r.over(ctx))
-		}
-		if err != nil && !errors.Is(err, ErrNotSent) {
-			why = reasonBroken
-			if !r.route.Idempotent() {
-				return r.finish(w, nil, mayHaveRun(why))
-			}
-		} else {
-			why = reasonNotAccepted
+		held, err := r.attemptPlain(ctx, choice)
+		switch {
+		case err == nil && r.mayReplace(held.status):
+			failed = held
+		case err == nil:
+			return r.finish(w, held, nil)
+		case ctx.Err() != nil:
+			return r.finish(w, nil, r.ended(ctx))
+		case !r.mayRetry(err):
+			return r.finish(w, nil, mayHaveRun(reasonBroken))
+		case notExecuted(err):
+			lastFailure = reasonNotAccepted
+		default:
+			lastFailure = reasonBroken
 		}
 	}
 }
 
-// settles tells whether an answer is final.
-func (r *run) settles(held *heldAnswer) bool {
-	return held.status < http.StatusInternalServerError || !r.route.Idempotent()
-}
-
-// exhausted is the final answer when no more sendings are allowed.
-func (r *run) exhausted(why, short reason) *refusal {
-	if r.tries == 0 {
-		return notRun(short, whenRoom)
+// attemptPlain sends the request once and returns the whole answer, whatever its status.
+func (r *run) attemptPlain(ctx context.Context, choice dispatch.Choice) (*heldAnswer, error) {
+	answer, ticket, err := r.send(ctx, choice, "")
+	defer ticket.End()
+	if err != nil {
+		return nil, err
+	}
+	if answer.NotExecuted {
+		discard(answer)
+		return nil, errNotExecuted
 	}
-	if r.route.Idempotent() {
-		// It may have run, but may also run again.
-		return notRun(why, soon)
+	ticket.Started()
+	held, err := hold(answer)
+	ticket.End()
+	if err != nil {
+		r.gateway.Loads.RecordOutcome(r.last, false)
+		r.logAttempt(choice, answer.Status, 0, err)
+		return nil, err
 	}
-	return mayHaveRun(why)
+	if held.status < http.StatusInternalServerError {
+		r.gateway.Loads.RecordOutcome(r.last, true)
+	}
+	return held, nil
 }
 
-// heldAnswer is a whole answer.
+// heldAnswer is an answer that was read before the caller gets any of it.
 type heldAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest of a body too long to be held; nil if body is all.
+	// rest is what follows body of an answer that is too long to be held; nil if body is all.
 	rest io.ReadCloser
 }
 
-// hold reads an answer until it is whole.
+// hold reads an answer until it is whole or too long to be held. The error is ErrBroken.
 func hold(answer *Answer) (*heldAnswer, error) {
 	var body bytes.Buffer
 	n, err := io.CopyN(&body, answer.Body, maxHeldAnswer+1)
@@ -108,33 +100,40 @@
 	return held, nil
 }
 
-// discard gives up what is left of an answer.
+// discard reads an answer that nobody needs, so that its connection can be used again. An error
+// needs no log line: it only costs the connection.
 func discard(answer *Answer) {
 	_, _ = io.CopyN(io.Discard, answer.Body, maxHeldAnswer)
 	_ = answer.Body.Close()
 }
 
-// finish writes the final answer: a back end's, or our own.
+// finish writes the final answer: the upstream's if there is one, and the refusal otherwise.
 func (r *run) finish(w http.ResponseWriter, held *heldAnswer, refused *refusal) error {
 	if held == nil {
 		r.gateway.refuse(w, r.request, r, refused)
 		return nil
 	}
-	maps.Copy(w.Header(), held.header)
-	if held.rest == nil {
-		w.Header().Set("Content-Length", strconv.Itoa(len(held.body)))
-	}
-	w.WriteHeader(held.status)
-	_, err := w.Write(held.body)
-	if held.rest != nil {
-		if err == nil {
-			_, err = io.Copy(w, held.rest)
-		}
-		_ = held.rest.Close()
-	}
+	err := held.write(w)
 	r.logEnd(held.status, "", err)
 	if err != nil {
 		return ErrAborted
 	}
 	return nil
 }
+
+// write passes the answer on.
+func (h *heldAnswer) write(w http.ResponseWriter) error {
+	maps.Copy(w.Header(), h.header)
+	if h.rest == nil {
+		w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
+	}
+	w.WriteHeader(h.status)
+	_, err := w.Write(h.body)
+	if h.rest != nil {
+		if err == nil {
+			_, err = io.Copy(w, h.rest)
+		}
+		_ = h.rest.Close()
+	}
+	return err
+}
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -6,59 +6,118 @@
 	"time"
 )
 
-// reason says why a request got no answer from a back end. Logs and metrics show it.
+// reason is why a request gets no answer from an upstream. Logs and metrics carry it.
 type reason string
 
-// The reasons.
+// The reasons. The comment beside each is the state that it stands for.
 const (
-	reasonNoConfig    reason = "no configuration yet"
-	reasonNoRoute     reason = "no route"
-	reasonNoBackend   reason = "no back end"
-	reasonNoModel     reason = "model not loaded"
-	reasonNoAdapter   reason = "adapter not loaded"
+	// reasonNoConfig: this box has no route table yet.
+	reasonNoConfig reason = "no configuration yet"
+	// reasonNoRoute: the route table has no route for the host and path.
+	reasonNoRoute reason = "no route"
+	// reasonNoUpstream: the service has no usable upstream that was not tried yet.
+	reasonNoUpstream reason = "no back end"
+	// reasonNoModel: no usable engine holds the model.
+	reasonNoModel reason = "model not loaded"
+	// reasonNoAdapter: engines hold the model, but none of them the adapter.
+	reasonNoAdapter reason = "adapter not loaded"
+	// reasonUnreachable: the engines that hold all that is needed were unreachable a moment ago.
 	reasonUnreachable reason = "back ends that have it do not answer"
-	reasonFull        reason = "back ends full"
-	reasonBroken      reason = "answer broken"
-	reasonBudget      reason = "retry budget used up"
-	reasonAttempts    reason = "attempts used up"
-	reasonTimeout     reason = "time is over"
-	reasonCallerLeft  reason = "caller left"
-	reasonTooLarge    reason = "body too large"
-	reasonStopping    reason = "machine stops"
+	// reasonFull: the predicted wait at the best engine is over the limit of admission.
+	reasonFull reason = "back ends full"
+	// reasonBroken: an attempt may have run, and its answer was lost or broken.
+	reasonBroken reason = "answer broken"
+	// reasonNotAccepted: the latest attempt was not executed by its upstream.
 	reasonNotAccepted reason = "not executed"
+	// reasonAttempts: the request has no attempt left.
+	reasonAttempts reason = "attempts used up"
+	// reasonBudget: this box's share of the service's retries is spent.
+	reasonBudget reason = "retry budget used up"
+	// reasonTimeout: the deadline of the request passed.
+	reasonTimeout reason = "time is over"
+	// reasonCallerLeft: the caller closed its connection.
+	reasonCallerLeft reason = "caller left"
+	// reasonStopping: this box drains.
+	reasonStopping reason = "machine stops"
 )
 
-// Times to come back.
-const (
-	// soon is for what is settled by another try.
-	soon = 50 * time.Millisecond
-	// whenRoom is for back ends that are full.
-	whenRoom = 300 * time.Millisecond
-	// whenConfigured is for a machine that has just started.
-	whenConfigured = 500 * time.Millisecond
-)
-
-// refusal is a final answer of our own.
+// refusal is a final answer of the gateway itself.
+//
+//	what is known                     status  Retry-After
+//	no upstream ran the request       503     retryAfter
+//	the host and path have no route   404     none
+//	it may have run, deadline passed  504     none
+//	it may have run, any other cause  502     none
+//	the caller left                   499     nothing is written; the status is only logged
+//
+// A request that may run any number of times counts as one that no upstream ran.
 type refusal struct {
-	status int
 	reason reason
-	// retryAfter tells when to come back; 0 if the request may have run.
+	status int
+	// retryAfter is when the caller may send the request again; 0 if nothing is promised.
 	retryAfter time.Duration
 }
 
-func notRun(why reason, retryAfter time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: why, retryAfter: retryAfter}
+// statusCallerLeft is the customary status in logs for a caller that closed its connection.
+const statusCallerLeft = 499
+
+// notRun is the refusal of a request that no upstream ran. The cause is expected to be gone after
+// expected; 0 if nothing is known of that.
+func notRun(cause reason, expected time.Duration) *refusal {
+	return &refusal{reason: cause, status: http.StatusServiceUnavailable, retryAfter: retryAfter(cause, expected)}
+}
+
+// mayHaveRun is the refusal of a request that may run only once and may have run.
+func mayHaveRun(cause reason) *refusal {
+	if cause == reasonTimeout {
+		return &refusal{reason: cause, status: http.StatusGatewayTimeout}
+	}
+	return &refusal{reason: cause, status: http.StatusBadGateway}
+}
+
+// noRoute is the refusal of a request that the route table does not know.
+func noRoute() *refusal {
+	return &refusal{reason: reasonNoRoute, status: http.StatusNotFound}
+}
+
+// callerLeft ends a request whose caller closed its connection.
+func callerLeft() *refusal {
+	return &refusal{reason: reasonCallerLeft, status: statusCallerLeft}
 }
 
-// mayHaveRun is the answer that promises nothing.
-func mayHaveRun(why reason) *refusal {
-	if why == reasonTimeout {
-		return &refusal{status: http.StatusGatewayTimeout, reason: why}
+// The least retry-after of refusals.
+const (
+	// retrySoon is for a cause that another box or another attempt does not meet.
+	// Chosen, not measured (commit bc3a7c4).
+	retrySoon = 50 * time.Millisecond
+	// retryWhenFull is for engines that are busy for longer than the target allows.
+	// Chosen, not measured (commit 21fe9e9).
+	retryWhenFull = 150 * time.Millisecond
+	// retryWhenLimited is for upstreams that turned the request down until no attempt was left.
+	// Chosen, not measured (commit bc3a7c4).
+	retryWhenLimited = 300 * time.Millisecond
+	// retryWhenConfigured is for a box that has just started.
+	// Chosen, not measured (commit bc3a7c4).
+	retryWhenConfigured = 500 * time.Millisecond
+)
+
+// retryAfter is the expected time until the cause of a refusal is gone, but at least the time that
+// its cause has in this table.
+func retryAfter(cause reason, expected time.Duration) time.Duration {
+	least := retrySoon
+	switch cause {
+	case reasonFull:
+		least = retryWhenFull
+	case reasonAttempts, reasonBudget:
+		least = retryWhenLimited
+	case reasonNoConfig:
+		least = retryWhenConfigured
 	}
-	return &refusal{status: http.StatusBadGateway, reason: why}
+	return max(least, expected)
 }
 
-// write sends the answer.
+// write sends the answer. A write that fails needs no log line: the caller is gone, and the refusal
+// is logged with its reason anyway.
 func (r *refusal) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -49,12 +49,12 @@
 	defer g.flight.Add(-1)
 	table := g.table.Load()
 	if table == nil {
-		g.refuse(w, request, nil, notRun(reasonNoConfig, whenConfigured))
+		g.refuse(w, request, nil, notRun(reasonNoConfig, 0))
 		return nil
 	}
 	route := table.Match(request.Host, request.Path)
 	if route == nil {
-		g.refuse(w, request, nil, &refusal{status: http.StatusNotFound, reason: reasonNoRoute})
+		g.refuse(w, request, nil, noRoute())
 		return nil
 	}
 	r := g.newRun(table, route, request)
@@ -110,45 +110,6 @@
 	return max(parts, request.PromptTokens)
 }
 
-// giveUp is the final answer to a request that goes to no back end any more.
-func (r *run) giveUp(why reason, retryAfter time.Duration) *refusal {
-	if r.tries > 0 && !r.route.Idempotent() {
-		return mayHaveRun(why)
-	}
-	return notRun(why, retryAfter)
-}
-
-// over is the final answer when ctx has ended.
-func (r *run) over(ctx context.Context) *refusal {
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return &refusal{status: 499, reason: reasonCallerLeft}
-	}
-	if r.tries == 0 {
-		return notRun(reasonTimeout, soon)
-	}
-	return mayHaveRun(reasonTimeout)
-}
-
-// maySend tells whether one more sending is within the route's attempts and the budget.
-func (r *run) maySend() (bool, reason) {
-	if r.sends == 0 {
-		return true, ""
-	}
-	if r.tries >= max(1, r.route.MaxAttempts) {
-		return false, reasonAttempts
-	}
-	if r.sends >= maxSends {
-		return false, reasonAttempts
-	}
-	if r.arrivals > 0 && !r.gateway.budget.repeat(r.service) {
-		return false, reasonBudget
-	}
-	return true, ""
-}
-
-// maxSends bounds the sendings of one request, those included that back ends turned down.
-const maxSends = 4
-
 // send sends the request to a back end, after the bookkeeping of one attempt.
 func (r *run) send(ctx context.Context, choice dispatch.Choice, lastEventID string) (*Answer, *dispatch.Ticket, error) {
 	r.sends++
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,34 +24,33 @@
 	events      int
 }
 
-// serveStream answers a request by events, from several back ends one after the other if the
-// route allows it.
+// serveStream answers a request by events. If the route allows it, the stream resumes at another
+// upstream after the last whole event that the caller has.
 func (r *run) serveStream(ctx context.Context, w http.ResponseWriter) error {
 	s := &stream{run: r, w: w, lastEventID: r.request.LastEventID}
 	for {
-		allowed, short := r.maySend()
-		if !allowed {
-			return s.end(r.exhausted(reasonBroken, short))
+		if denied := s.takeAttempt(); denied != "" {
+			return s.end(s.deniedRefusal(denied, reasonBroken))
 		}
-		choice, refused := r.pick(ctx)
+		choice, refused := s.pick(ctx)
 		if refused != nil {
 			return s.end(refused)
 		}
-		over, err := s.attempt(ctx, choice)
-		if over {
+		done, err := s.attempt(ctx, choice)
+		switch {
+		case done:
 			return err
-		}
-		if ctx.Err() != nil {
-			return s.end(r.over(ctx))
-		}
-		if err != nil && !errors.Is(err, ErrNotSent) && !r.route.Idempotent() {
+		case ctx.Err() != nil:
+			return s.end(s.ended(ctx))
+		case !s.mayRetry(err):
 			return s.end(mayHaveRun(reasonBroken))
 		}
 	}
 }
 
-// attempt sends the request once and passes its events on. over tells that the answer is done.
-func (s *stream) attempt(ctx context.Context, choice dispatch.Choice) (over bool, err error) {
+// attempt sends the request once and passes its events on. done reports that the request is over;
+// err is then what Serve returns.
+func (s *stream) attempt(ctx context.Context, choice dispatch.Choice) (done bool, err error) {
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answer, ticket, err := s.send(sendCtx, choice, s.lastEventID)
@@ -61,7 +60,7 @@
 	}
 	if answer.NotExecuted {
 		discard(answer)
-		return false, nil
+		return false, errNotExecuted
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status != http.StatusOK {
@@ -81,9 +80,11 @@
 	return false, err
 }
 
-// passFailure passes a failure on that a back end answered, or has another one try.
-func (s *stream) passFailure(answer *Answer) (over bool, err error) {
-	if s.begun || (answer.Status >= http.StatusInternalServerError && s.mayTryAgain()) {
+// passFailure passes the failure of an upstream on, or has another upstream try. A failure can't
+// follow events that the caller has. Unlike a plain answer, a failure that is not passed on at once
+// is not kept for later, so it is replaced only while the route allows one more run.
+func (s *stream) passFailure(answer *Answer) (done bool, err error) {
+	if s.begun || (s.mayReplace(answer.Status) && s.hasRunsLeft()) {
 		discard(answer)
 		return false, ErrBroken
 	}
@@ -94,10 +95,6 @@
 	return true, s.finish(s.w, held, nil)
 }
 
-func (s *stream) mayTryAgain() bool {
-	return s.route.Idempotent() && s.tries < s.route.MaxAttempts
-}
-
 // errCallerGone says that the caller's connection does not take the answer any more.
 const errCallerGone = errors.ConstError("caller's connection is gone")
 
