--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -116,7 +116,7 @@
 	r.last = choice.Upstream.ID
 	r.choice = choice
 	r.avoid = append(r.avoid, r.last)
-	r.noteWork(choice.Uncached)
+	r.noteDemand(choice.Uncached)
 	ticket := r.gateway.Loads.Begin(choice, r.need)
 	if r.need.Model != "" {
 		use := residency.AdapterUse{Upstream: r.last, Model: r.need.Model, Adapter: r.need.Adapter}
