--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,7 +31,7 @@
 	Log  *zap.Logger
 	Set  *metrics.Set
 
-	budget *repeatBudget
+	budget *retryBudget
 	uses   adapterUses
 	table  atomic.Pointer[routes.Table]
 	flight atomic.Int64
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -136,7 +136,7 @@
 		Set: metrics.NewSet(),
 	}
 	g.uses.running = map[residency.AdapterUse]int{}
-	g.budget = newRepeatBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return machines })
+	g.budget = newRetryBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return machines })
 	route := func(path string, kind routes.Kind, service string, resumable bool) routes.Route {
 		return routes.Route{
 			Name: path, Host: "h", PathPrefix: path, Kind: kind, Resumable: resumable, Timeout: 3 * time.Second,
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -107,7 +107,7 @@
 		most:       1,
 	}
 	n.Gateway.Ensure = n.cluster.ensure
-	n.Gateway.budget = newRepeatBudget(config.Retries, n.cluster.machines)
+	n.Gateway.budget = newRetryBudget(config.Retries, n.cluster.machines)
 	n.turn.cluster = n.cluster
 	n.server = peer.NewServer(config.PeerSecret, config.Set)
 	peer.Handle(n.server, methodExchange, n.cluster.answerExchange)
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -30,7 +30,7 @@
 		return ""
 	case !r.hasRunsLeft(), r.attempts.sent >= maxSent:
 		return reasonAttempts
-	case r.attempts.reached > 0 && !r.gateway.budget.repeat(r.service):
+	case r.attempts.reached > 0 && !r.gateway.budget.takeRetry(r.service):
 		return reasonBudget
 	}
 	return ""
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -32,7 +32,7 @@
 		ctx, cancel = context.WithDeadline(ctx, r.deadlines.answer)
 		defer cancel()
 	}
-	g.budget.request(r.service)
+	g.budget.noteRequest(r.service)
 	if route.Kind == routes.Stream {
 		return r.serveStream(ctx, w)
 	}
