--- a/pkg/eventstream/eventstream.go
+++ b/pkg/eventstream/eventstream.go
@@ -1,4 +1,8 @@
 // Package eventstream cuts a stream of server-sent events into whole events.
+//
+// It owns nothing and relies on nothing but the source that it reads. internal/gateway uses it, so that
+// a stream which breaks can resume after the last whole event. `ospreymoor serve` has no use for it: its
+// engines answer by typed messages.
 package eventstream
 
 import (
@@ -10,14 +14,15 @@
 	"github.com/juju/errors"
 )
 
-// MaxEventBytes bounds one event.
+// MaxEventBytes bounds one event, so that a faulty upstream can't fill the memory.
+// Chosen, not measured (commit bc3a7c4).
 const MaxEventBytes = 1 << 20
 
 // Kinds of failure.
 const (
-	// ErrPartial says that the stream ended inside an event.
+	// ErrPartial means that the stream ended inside an event.
 	ErrPartial = errors.ConstError("stream ended inside an event: resume it after the last whole one")
-	// ErrTooLong says that an event exceeds MaxEventBytes.
+	// ErrTooLong means that an event exceeds MaxEventBytes.
 	ErrTooLong = errors.ConstError("event over a megabyte: the back end is faulty")
 )
 
@@ -25,11 +30,11 @@
 type Event struct {
 	// Bytes are the event's lines with the empty line that ends it.
 	Bytes []byte
-	// ID is the event's id; empty if it names none.
+	// ID is the event's id; empty if it has none.
 	ID string
 }
 
-// Reader reads events.
+// Reader reads events. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 }
@@ -39,29 +44,30 @@
 	return &Reader{source: bufio.NewReader(source)}
 }
 
-// Next returns the next whole event. At the end of the stream it returns io.EOF if the stream
-// ended between events; an event that was begun is never returned.
+// Next returns the next whole event; an event that is not whole is never returned. The error is io.EOF
+// if the stream ended between events, ErrPartial if it ended inside one, ErrTooLong, or that of the
+// source.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	for {
-		line, err := r.source.ReadSlice('\n')
-		event.Bytes = append(event.Bytes, line...)
+		piece, err := r.source.ReadSlice('\n')
+		event.Bytes = append(event.Bytes, piece...)
 		if len(event.Bytes) > MaxEventBytes {
 			return Event{}, ErrTooLong
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
-			continue
+			continue // The line is longer than the buffer.
 		case err == io.EOF && len(event.Bytes) > 0:
 			return Event{}, ErrPartial
 		case err != nil:
 			return Event{}, err
 		}
-		last := lastLine(event.Bytes)
-		if len(last) == 0 {
+		line := lastLine(event.Bytes)
+		if len(line) == 0 {
 			return event, nil
 		}
-		if id, ok := strings.CutPrefix(string(last), "id:"); ok {
+		if id, ok := strings.CutPrefix(string(line), "id:"); ok {
 			event.ID = strings.TrimSpace(id)
 		}
 	}
--- /dev/null
+++ b/pkg/routes/service.go
@@ -0,0 +1,64 @@
+package routes
+
+import "time"
+
+// Service is a set of upstreams that are alike.
+type Service struct {
+	Name string
+	// MaxConnections is how many connections one upstream takes from all callers together. No decision
+	// uses it.
+	MaxConnections int
+	// Engines is nil for a plain service.
+	Engines *Engines
+
+	// models is an index of Engines.Models by name.
+	models map[string]*Model
+}
+
+// Model returns the description of a model; nil if the service has none of that name.
+func (s *Service) Model(name string) *Model { return s.models[name] }
+
+// index makes the index of models; a plain service has none.
+func (s *Service) index() {
+	if s.Engines == nil {
+		return
+	}
+	s.models = make(map[string]*Model, len(s.Engines.Models))
+	for i := range s.Engines.Models {
+		model := &s.Engines.Models[i]
+		s.models[model.Name] = model
+	}
+}
+
+// Engines describes the engines of a service.
+type Engines struct {
+	// Slots is how many requests an engine works on at once.
+	Slots int
+	// CacheTokens is an engine's memory for prompts and answers, in tokens.
+	CacheTokens int
+	// Megabytes is an engine's memory for weights and adapters together.
+	Megabytes float64
+	// AdapterSlots is how many adapters an engine holds at once.
+	AdapterSlots int
+	// DiskMegabytes is an engine's disk for weights; those unused longest are removed first.
+	DiskMegabytes float64
+	// LoadsPerSecond is how many loads the weight store allows all engines together.
+	LoadsPerSecond float64
+	// Models are in the order of the configuration.
+	Models []Model
+}
+
+// Model is a model that the engines of a service can hold.
+type Model struct {
+	Name string
+	// Megabytes of an engine's memory that the weights take.
+	Megabytes float64
+	// LoadTime is how long a load from the weight store takes.
+	LoadTime time.Duration
+	// DiskLoadTime is how long a load from the engine's disk takes.
+	DiskLoadTime time.Duration
+	// Adapters are the names of its adapters.
+	Adapters []string
+	// AdapterMegabytes is the memory of one adapter.
+	AdapterMegabytes float64
+}
