--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,8 +1,11 @@
-// Package logging writes structured lines without ever blocking those who log.
+// Package logging writes structured log lines without ever blocking the code that logs.
 //
-// Lines go through a bounded queue to one writer. Where the queue is full, or one kind of line
-// comes too often, lines are dropped and counted; warnings, errors and the lines of a process's
-// start and stop have a queue of their own, which ordinary lines can't fill.
+// Lines go through a bounded queue to one writer. If the queue is full, or lines with the same message
+// come too often, lines are dropped and counted. Warnings, errors and the lines of a process's start and
+// stop have a queue of their own, which ordinary lines can't fill.
+//
+// It owns the queues and the writer, and relies on zap for the form of the lines and their sampling.
+// `ospreymoor node` uses it; `ospreymoor serve` logs to zap directly.
 package logging
 
 import (
@@ -15,19 +18,21 @@
 	"go.uber.org/zap/zapcore"
 )
 
+// All figures are chosen, not measured (commit 47d0189).
 const (
-	// queueLength is how many lines wait for the writer at most, of each of the two kinds.
+	// queueLength is the number of lines that each of the two queues holds.
 	queueLength = 4096
-	// batchBytes is how much is written at once.
+	// batchBytes is how many bytes are gathered for one write.
 	batchBytes = 64 << 10
-	// linesPerSecond of one message are always written, and then one in everyNth.
+	// linesPerSecond is how many lines with the same message are always written in a second; of those
+	// after them, one in everyNth is.
 	linesPerSecond = 200
 	everyNth       = 20
 	// flushTime bounds how long Close waits for the writer.
 	flushTime = time.Second
 )
 
-// Sink takes lines and writes them in the background.
+// Sink queues lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out     io.Writer
 	dropped *metrics.Counter
@@ -39,7 +44,7 @@
 	closeOnce sync.Once
 }
 
-// NewSink returns a sink that writes to out; Close ends it.
+// NewSink returns a sink that writes to out; Close ends it. The set counts the lines that are dropped.
 func NewSink(out io.Writer, set *metrics.Set) *Sink {
 	s := &Sink{
 		out:       out,
@@ -55,32 +60,35 @@
 
 // New returns a logger of a level that writes to the sink.
 func New(level zapcore.Level, sink *Sink, set *metrics.Set) *zap.Logger {
-	config := zap.NewProductionEncoderConfig()
-	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	config.EncodeDuration = zapcore.SecondsDurationEncoder
-	encoder := zapcore.NewJSONEncoder(config)
-	thinned := set.GetOrCreateCounter(`ospreymoor_log_lines_dropped_total{reason="too many of one kind"}`)
+	encoder := newEncoder()
+	sampledOut := set.GetOrCreateCounter(`ospreymoor_log_lines_dropped_total{reason="too many of one kind"}`)
 	ordinary := zapcore.NewSamplerWithOptions(
 		zapcore.NewCore(encoder, queue{sink, sink.ordinary}, between(level, zapcore.InfoLevel)),
 		time.Second, linesPerSecond, everyNth,
 		zapcore.SamplerHook(func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 			if decision&zapcore.LogDropped != 0 {
-				thinned.Inc()
+				sampledOut.Inc()
 			}
 		}))
 	important := zapcore.NewCore(encoder, queue{sink, sink.important}, between(max(level, zapcore.WarnLevel), zapcore.FatalLevel))
 	return zap.New(zapcore.NewTee(ordinary, important))
 }
 
-// Lifecycle returns a logger for the lines of a process's start, stop and reload, which are
-// never thinned out.
+// Lifecycle returns a logger for the lines of a process's start, stop and reload, which are never
+// sampled.
 func Lifecycle(sink *Sink) *zap.Logger {
+	return zap.New(zapcore.NewCore(newEncoder(), queue{sink, sink.important}, zapcore.InfoLevel))
+}
+
+// newEncoder encodes lines as JSON with times in RFC 3339 and durations in seconds.
+func newEncoder() zapcore.Encoder {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.SecondsDurationEncoder
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(config), queue{sink, sink.important}, zapcore.InfoLevel))
+	return zapcore.NewJSONEncoder(config)
 }
 
+// between enables the levels from lowest to highest.
 func between(lowest, highest zapcore.Level) zap.LevelEnablerFunc {
 	return func(level zapcore.Level) bool { return level >= lowest && level <= highest }
 }
@@ -91,7 +99,8 @@
 	lines chan []byte
 }
 
-// Write takes one line, or drops it if the queue is full.
+// Write queues a copy of one line, since zap uses its buffer again. It drops the line if the queue is
+// full.
 func (q queue) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
@@ -102,10 +111,11 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as soon as the writer takes them.
+// Sync does nothing: the writer is always at work.
 func (queue) Sync() error { return nil }
 
-// run writes lines, as many at once as there are.
+// run writes lines, as many at once as there are. A failed write is not reported: there is nowhere left
+// to log it to.
 func (s *Sink) run() {
 	defer close(s.done)
 	var batch []byte
@@ -124,7 +134,7 @@
 	}
 }
 
-// gather adds the lines that wait, important ones first.
+// gather adds the lines that are queued, important ones first, until the batch is full.
 func (s *Sink) gather(batch []byte) []byte {
 	for len(batch) < batchBytes {
 		select {
@@ -143,7 +153,7 @@
 	return batch
 }
 
-// Close writes what waits, for a bounded time. Lines logged later are lost.
+// Close writes what is queued, for at most flushTime. Lines logged later are lost.
 func (s *Sink) Close() {
 	s.closeOnce.Do(func() { close(s.closing) })
 	select {
