--- /dev/null
+++ b/internal/gateway/admission_test.go
@@ -0,0 +1,47 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/routes"
+)
+
+var _ = Describe("admission", func() {
+	const target = 800 * time.Millisecond
+	request := func(model string, target time.Duration, ran int) *inflight {
+		return &inflight{
+			route:    &routes.Route{Target: target},
+			need:     dispatch.Requirements{Model: model},
+			attempts: attempts{mayHaveRun: ran},
+		}
+	}
+
+	DescribeTable("goes by the wait predicted at the best engine",
+		func(r *inflight, wait time.Duration, want *refusal) {
+			Expect(r.admit(dispatch.Choice{Wait: wait})).To(Equal(want))
+		},
+		Entry("just in time", request("m", target, 0), 919*time.Millisecond, nil),
+		Entry("too late", request("m", target, 0), 921*time.Millisecond, notRun(reasonFull, 521*time.Millisecond)),
+		Entry("a route without a target", request("m", 0, 0), time.Hour, nil),
+		Entry("a plain service", request("", target, 0), time.Hour, nil),
+		Entry("a stream that resumes", request("m", target, 1), time.Hour, nil),
+	)
+
+	It("refuses while all engines are busy, and sends to one that is not", func() {
+		f := newFixture(func(string, int) fate { return whole }, 1)
+		busy := dispatch.Load{Running: 1, Prefill: [dispatch.UrgencyLevels]int{100_000}}
+		f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e2": busy, "e3": busy})
+		got := f.ask(context.Background(), "r1", "/stream/x", "m")
+		Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
+		Expect(got.Body.String()).To(Equal("back ends full\n"))
+		f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e3": busy})
+		Expect(f.ask(context.Background(), "r2", "/stream/x", "m").Code).To(Equal(http.StatusOK))
+		Expect(f.upstreams.on).To(Equal([]string{"e2"}))
+	})
+})
--- /dev/null
+++ b/internal/gateway/drain_test.go
@@ -0,0 +1,53 @@
+package gateway
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+var _ = Describe("a drain", func() {
+	It("accepts requests until the balancer has noticed, then ends connections, then refuses", func() {
+		synctest.Test(suiteT, func(*testing.T) {
+			defer GinkgoRecover()
+			answered := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+			f := NewFront(answered, nil)
+			ask := func() *httptest.ResponseRecorder {
+				answer := httptest.NewRecorder()
+				f.Server.Handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
+				return answer
+			}
+			done := make(chan struct{})
+			go func() {
+				defer close(done)
+				f.Drain(10 * time.Second)
+			}()
+			time.Sleep(1900 * time.Millisecond)
+			Expect(ask().Header()).NotTo(HaveKey("Connection"))
+			time.Sleep(200 * time.Millisecond)
+			Expect(ask().Header().Get("Connection")).To(Equal("close"))
+			Expect(ask().Code).To(Equal(http.StatusOK))
+			time.Sleep(800 * time.Millisecond)
+			refused := ask()
+			Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
+			Expect(refused.Header().Get("Retry-After")).To(Equal("0.050"))
+			Expect(refused.Body.String()).To(Equal("machine stops\n"))
+			<-done
+		})
+	})
+
+	It("shortens its phases to a quarter and a half of a short grace time", func() {
+		synctest.Test(suiteT, func(*testing.T) {
+			defer GinkgoRecover()
+			f := NewFront(http.NotFoundHandler(), nil)
+			begun := time.Now()
+			f.Drain(time.Second)
+			Expect(time.Since(begun)).To(Equal(500 * time.Millisecond))
+		})
+	})
+})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 	RunSpecs(t, "Gateway")
 }
 
-// fate is how one sending ends at a fake back end.
+// fate is how one attempt ends at a fake upstream.
 type fate int
 
 const (
@@ -48,10 +48,10 @@
 	fates
 )
 
-// fakeBackends notes what ran, and has sendings end as chosen.
-type fakeBackends struct {
+// fakeUpstreams notes what ran, and ends attempts as chosen.
+type fakeUpstreams struct {
 	mu sync.Mutex
-	// choose picks the fate of a sending; n counts those of the request.
+	// choose picks the fate of an attempt; n counts those of the request.
 	choose func(id string, n int) fate
 	sends  map[string]int
 	runs   map[string]int
@@ -61,7 +61,7 @@
 
 const plainBody = "the whole answer"
 
-func (f *fakeBackends) send(ctx context.Context, to fleet.Upstream, attempt Attempt) (*Answer, error) {
+func (f *fakeUpstreams) send(ctx context.Context, to fleet.Upstream, attempt Attempt) (*Answer, error) {
 	id := attempt.Request.ID
 	f.mu.Lock()
 	f.sends[id]++
@@ -118,16 +118,16 @@
 // fixture is a gateway on fakes.
 type fixture struct {
 	*Gateway
-	backends *fakeBackends
+	upstreams *fakeUpstreams
 }
 
-func newFixture(choose func(id string, n int) fate, machines int) *fixture {
-	f := &fakeBackends{choose: choose, sends: map[string]int{}, runs: map[string]int{}}
-	book := dispatch.NewLoadTracker()
+func newFixture(choose func(id string, n int) fate, boxes int) *fixture {
+	f := &fakeUpstreams{choose: choose, sends: map[string]int{}, runs: map[string]int{}}
+	loads := dispatch.NewLoadTracker()
 	g := &Gateway{
 		Directory: fleet.New(),
-		Loads:     book,
-		Chooser:   &dispatch.Chooser{Loads: book},
+		Loads:     loads,
+		Chooser:   &dispatch.Chooser{Loads: loads},
 		Upstreams: Upstreams{Send: f.send},
 		Ensure: func(context.Context, string, string, string) (residency.Ensured, error) {
 			return residency.Ensured{Ready: 2 * time.Second}, residency.ErrNoPlace
@@ -136,7 +136,7 @@
 		Set: metrics.NewSet(),
 	}
 	g.uses.running = map[residency.AdapterUse]int{}
-	g.budget = newRetryBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return machines })
+	g.budget = newRetryBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return boxes })
 	route := func(path string, kind routes.Kind, service string, resumable bool) routes.Route {
 		return routes.Route{
 			Name: path, Host: "h", PathPrefix: path, Kind: kind, Resumable: resumable, Timeout: 3 * time.Second,
@@ -156,7 +156,7 @@
 		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", n), Service: "engines", Slots: 8, Revision: 1, Models: []fleet.Holding{{Model: "m"}}})
 	}
 	g.Directory.SetList(1, list, time.Time{})
-	return &fixture{Gateway: g, backends: f}
+	return &fixture{Gateway: g, upstreams: f}
 }
 
 // caller is a response writer that knows whether the answer was broken off.
@@ -176,11 +176,11 @@
 	return c
 }
 
-// refused tells whether a status promises that the request never runs.
+// refused reports whether a status promises that the request never runs.
 func refused(status int) bool { return status == http.StatusServiceUnavailable }
 
 var _ = Describe("a gateway", func() {
-	It("runs what may run once at most once, and never what it said was not run", func() {
+	It("runs what may run once at most once, and never what it answered 503", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			for seed := range uint64(40) {
@@ -193,9 +193,9 @@
 						path, model = "/strict/x", "m"
 					}
 					got := f.ask(context.Background(), id, path, model)
-					Expect(f.backends.runs[id]).To(BeNumerically("<=", 1), id)
+					Expect(f.upstreams.runs[id]).To(BeNumerically("<=", 1), id)
 					if refused(got.Code) {
-						Expect(f.backends.runs[id]).To(BeZero(), id)
+						Expect(f.upstreams.runs[id]).To(BeZero(), id)
 						Expect(got.Header().Get("Retry-After")).NotTo(BeEmpty())
 					}
 					if got.Code == http.StatusOK && !got.aborted {
@@ -206,7 +206,7 @@
 		})
 	})
 
-	It("joins resumable streams cleanly, under the first back end's head, or breaks them off", func() {
+	It("joins resumable streams cleanly, under the first upstream's head, or breaks them off", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			for seed := range uint64(60) {
@@ -221,7 +221,7 @@
 				} else {
 					Expect(got.Body.String()).To(Equal(events("")))
 				}
-				Expect(f.backends.on).To(ContainElement(got.Header().Get("Seal")))
+				Expect(f.upstreams.on).To(ContainElement(got.Header().Get("Seal")))
 			}
 		})
 	})
@@ -231,12 +231,12 @@
 			defer GinkgoRecover()
 			f := newFixture(func(string, int) fate { return brokenBeforeHead }, 1)
 			got := f.ask(context.Background(), "r", "/safe/x", "")
-			Expect(f.backends.runs["r"]).To(Equal(2))
+			Expect(f.upstreams.runs["r"]).To(Equal(2))
 			Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
 		})
 	})
 
-	It("passes a back end's failure on when no other one does better", func() {
+	It("passes an upstream's failure on when no other one does better", func() {
 		f := newFixture(func(string, int) fate { return fails }, 1)
 		got := f.ask(context.Background(), "r", "/safe/x", "")
 		Expect(got.Code).To(Equal(http.StatusInternalServerError))
@@ -244,7 +244,7 @@
 		Expect(got.Body.String()).To(Equal("failed"))
 	})
 
-	It("gives its final answer at the route's time, and tells back ends what is left", func() {
+	It("gives its final answer at the route's timeout, and gives upstreams the time that is left", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			f := newFixture(func(string, int) fate { return hangs }, 1)
@@ -252,11 +252,11 @@
 			got := f.ask(context.Background(), "r", "/once/x", "")
 			Expect(got.Code).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(begun)).To(Equal(3 * time.Second))
-			Expect(f.backends.left[0]).To(BeNumerically("<=", 3*time.Second))
+			Expect(f.upstreams.left[0]).To(BeNumerically("<=", 3*time.Second))
 		})
 	})
 
-	It("refuses at once what no engine can be given in time, with when to come back", func() {
+	It("refuses at once what no engine can hold in time, with a retry-after", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			f := newFixture(func(string, int) fate { return whole }, 1)
@@ -283,22 +283,22 @@
 		Expect(f.Table().Version).To(Equal(int64(2)))
 	})
 
-	It("keeps repeats within its share of the budget, whatever fails", func() {
-		const machines = 5
-		f := newFixture(func(string, int) fate { return brokenBeforeHead }, machines)
+	It("keeps retries within its share of the budget, whatever fails", func() {
+		const boxes = 5
+		f := newFixture(func(string, int) fate { return brokenBeforeHead }, boxes)
 		const requests = 400
 		for n := range requests {
 			f.ask(context.Background(), fmt.Sprint(n), "/safe/x", "")
 		}
 		total := 0
-		for _, n := range f.backends.sends {
+		for _, n := range f.upstreams.sends {
 			total += n
 		}
 		Expect(total - requests).To(BeNumerically(">", 0))
-		Expect(float64(total - requests)).To(BeNumerically("<=", 0.2*requests+50.0/machines))
+		Expect(float64(total - requests)).To(BeNumerically("<=", 0.2*requests+50.0/boxes))
 	})
 
-	It("does not count as a repeat what never reached a back end", func() {
+	It("does not count as a retry what never reached an upstream", func() {
 		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			f := newFixture(func(_ string, n int) fate {
@@ -309,7 +309,7 @@
 			}, 1000)
 			for n := range 50 {
 				Expect(f.ask(context.Background(), fmt.Sprint(n), "/once/x", "").Code).To(Equal(http.StatusOK))
-				time.Sleep(time.Second) // The back end that took no connection is tried again.
+				time.Sleep(time.Second) // The upstream that took no connection is tried again.
 			}
 		})
 	})
--- /dev/null
+++ b/internal/gateway/refusal_test.go
@@ -0,0 +1,47 @@
+package gateway
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+var _ = Describe("a refusal", func() {
+	DescribeTable("has the retry-after of its cause, or the expected time if that is longer",
+		func(cause reason, expected, want time.Duration) {
+			Expect(notRun(cause, expected)).To(Equal(&refusal{
+				reason: cause, status: http.StatusServiceUnavailable, retryAfter: want}))
+		},
+		Entry("no configuration", reasonNoConfig, time.Duration(0), 500*time.Millisecond),
+		Entry("full, room expected soon", reasonFull, 20*time.Millisecond, 150*time.Millisecond),
+		Entry("full, room expected late", reasonFull, time.Second, time.Second),
+		Entry("no attempt left", reasonAttempts, time.Duration(0), 300*time.Millisecond),
+		Entry("no retry left", reasonBudget, time.Duration(0), 300*time.Millisecond),
+		Entry("model loads", reasonNoModel, 2*time.Second, 2*time.Second),
+		Entry("model with an unknown time", reasonNoModel, time.Duration(0), 50*time.Millisecond),
+		Entry("any other", reasonNoUpstream, time.Duration(0), 50*time.Millisecond),
+	)
+
+	DescribeTable("promises nothing where the request may have run or has no route",
+		func(refused *refusal, status int) {
+			answer := httptest.NewRecorder()
+			refused.write(answer)
+			Expect(answer.Code).To(Equal(status))
+			Expect(answer.Header()).NotTo(HaveKey("Retry-After"))
+		},
+		Entry("broken", mayHaveRun(reasonBroken), http.StatusBadGateway),
+		Entry("too late", mayHaveRun(reasonTimeout), http.StatusGatewayTimeout),
+		Entry("no route", noRoute(), http.StatusNotFound),
+	)
+
+	It("carries the retry-after in seconds, and its reason", func() {
+		answer := httptest.NewRecorder()
+		notRun(reasonFull, 1234*time.Millisecond).write(answer)
+		Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
+		Expect(answer.Header().Get("Retry-After")).To(Equal("1.234"))
+		Expect(answer.Body.String()).To(Equal("back ends full\n"))
+	})
+})
