--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -64,38 +64,7 @@
 	return max(parts, request.PromptTokens)
 }
 
-// deadlines are the times up to which a request may be worked on.
-type deadlines struct {
-	// answer is when the final answer is due; zero for never.
-	answer time.Time
-	// upstream is until when the request may wait for a candidate, ahead of each of its attempts.
-	upstream time.Time
-}
-
-const (
-	// upstreamWaitShare is the longest wait for a candidate, as a share of the route's target.
-	// Chosen, not measured (commit bc3a7c4); 0.6 for callers that come back was tried and lost, mean
-	// worth 0.654 with it and 0.662 without (commit 6c9f957).
-	upstreamWaitShare = 0.22
-	// leastUpstreamWait is the longest wait on routes with a short target or none.
-	// Chosen, not measured (commit bc3a7c4).
-	leastUpstreamWait = 50 * time.Millisecond
-)
-
-// newDeadlines takes the caller's deadline or the route's timeout, whichever comes first.
-func newDeadlines(route *routes.Route, request *Request) deadlines {
-	answer := request.Deadline
-	if route.Timeout > 0 {
-		timeout := request.Arrived.Add(route.Timeout)
-		if answer.IsZero() || timeout.Before(answer) {
-			answer = timeout
-		}
-	}
-	wait := max(leastUpstreamWait, time.Duration(upstreamWaitShare*float64(route.Target)))
-	return deadlines{answer: answer, upstream: request.Arrived.Add(wait)}
-}
-
-// attempts are the sendings of a request so far.
+// attempts are those of a request so far.
 type attempts struct {
 	// sent counts all of them.
 	sent int
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -37,7 +37,9 @@
 	g.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_refusals_total{reason=%q}", refused.reason)).Inc()
 }
 
-// logAttempt counts and logs an attempt without a good answer; took is the time until that was known.
+// logAttempt counts and logs an attempt without a good answer. took is the time to the head of the answer
+// or to the error; for a stream that broke, it is counted from the arrival of the request, and for a
+// plain answer that broke it is 0.
 func (r *inflight) logAttempt(choice dispatch.Choice, status int, took time.Duration, err error) {
 	r.gateway.Set.GetOrCreateCounter("ospreymoor_attempts_failed_total").Inc()
 	load := r.gateway.Loads.Total(choice.Upstream.ID)
--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -15,8 +15,8 @@
 // Chosen, not measured (commit bc3a7c4).
 const directoryPoll = 20 * time.Millisecond
 
-// provide has provided what the request lacks, and returns how long to wait before another look at
-// the directory. It refuses the request if that is longer than it may wait.
+// provide requests what is lacking from the order holder, and returns how long to wait before another
+// look at the directory. It refuses the request if that is longer than the request may wait.
 func (r *inflight) provide(ctx context.Context, lacking reason) (time.Duration, *refusal) {
 	left := time.Until(r.deadlines.upstream)
 	if lacking == reasonNoUpstream {
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -62,7 +62,7 @@
 }
 
 // deniedRefusal is the final answer of a request that a limit allows no further attempt. If an
-// attempt may have run, the caller gets lastFailure, which says more than the limit does.
+// attempt may have run, the caller gets lastFailure, which is closer to the cause.
 func (r *inflight) deniedRefusal(denied, lastFailure reason) *refusal {
 	if r.attempts.mayHaveRun == 0 {
 		return notRun(denied, 0)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -11,8 +11,8 @@
 //
 // The way of a request: its route, its deadlines, and then attempt after attempt the limits of retries
 // (retry.go), the candidates (candidates.go) and the choice among them (choice.go), admission
-// (admission.go) or provision of what is lacking (provision.go), the sending (attempt.go) and its
-// outcome (outcome.go).
+// (admission.go) or provision of what is lacking (provision.go), the attempt (attempt.go) and its
+// outcome (outcome.go). stream.go and plain.go pass the answer on.
 func (g *Gateway) Serve(ctx context.Context, w http.ResponseWriter, request *Request) error {
 	g.flight.Add(1)
 	defer g.flight.Add(-1)
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -20,7 +20,7 @@
 	ErrBroken = errors.ConstError("answer lost or broken: the request may have run")
 )
 
-// Attempt is one sending of a request to one upstream.
+// Attempt is a request as it goes to one upstream once.
 type Attempt struct {
 	Request *Request
 	// Left is the time that the upstream may take; 0 is no bound.
@@ -46,7 +46,7 @@
 
 // Upstreams is the port to the upstreams.
 type Upstreams struct {
-	// Send sends a request once and returns the answer's head. An error is ErrNotSent, ErrBroken
+	// Send makes one attempt and returns the answer's head. An error is ErrNotSent, ErrBroken
 	// or that of ctx; when ctx ends, the upstream gives up its run.
 	Send func(ctx context.Context, to fleet.Upstream, attempt Attempt) (*Answer, error)
 	// Forget closes the idle connections to an upstream that is gone.
--- a/pkg/eventstream/eventstream_test.go
+++ b/pkg/eventstream/eventstream_test.go
@@ -67,7 +67,7 @@
 		}
 	})
 
-	It("tells a broken connection from the stream's end", func() {
+	It("distinguishes a broken connection from the stream's end", func() {
 		broken := errors.New("reset")
 		_, err := readAll(io.MultiReader(strings.NewReader(whole), iotest.ErrReader(broken)))
 		Expect(err).To(MatchError(broken))
--- a/pkg/routes/routes_test.go
+++ b/pkg/routes/routes_test.go
@@ -53,7 +53,7 @@
 		Expect((&routes.Route{}).Pick(1)).To(BeEmpty())
 	})
 
-	It("says what may run more than once", func() {
+	It("knows what may run more than once", func() {
 		Expect((&routes.Route{Kind: routes.Once}).Idempotent()).To(BeFalse())
 		Expect((&routes.Route{Kind: routes.Repeatable}).Idempotent()).To(BeTrue())
 		Expect((&routes.Route{Kind: routes.Stream}).Idempotent()).To(BeFalse())
