--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// budgetShare is the part of the allowed ratio and slack that is used. The boxes keep to their shares
-// without asking each other, and count each other with a delay.
+// budgetShare is the part of the allowed ratio and slack that is used: the boxes keep to their shares
+// without asking each other.
 // Chosen, not measured (commit bc3a7c4).
 const budgetShare = 0.8
 
