--- /dev/null
+++ b/internal/gateway/provision.go
@@ -0,0 +1,68 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/logfield"
+	"ospreymoor.example/ospreymoor/pkg/residency"
+)
+
+// directoryPoll is the pause before another look at the directory of upstreams.
+// Chosen, not measured (commit bc3a7c4).
+const directoryPoll = 20 * time.Millisecond
+
+// provide requests what is lacking from the order holder, and returns how long to wait before another
+// look at the directory. It refuses the request if that is longer than the request may wait.
+func (r *inflight) provide(ctx context.Context, lacking reason) (time.Duration, *refusal) {
+	left := time.Until(r.deadlines.upstream)
+	if lacking == reasonNoUpstream {
+		// The order holder can't provide an upstream; the platform's list may bring one.
+		if left < directoryPoll {
+			return 0, r.unserved(lacking, 0)
+		}
+		return directoryPoll, nil
+	}
+	if lacking == reasonNoModel {
+		r.noteUnserved()
+	}
+	if left <= 0 {
+		return 0, r.unserved(lacking, 0)
+	}
+	return r.ensure(ctx, lacking, left)
+}
+
+// ensure asks the order holder for the model or adapter, for at most the time that is left. Where the
+// order holder can't be reached, Ready is 0 and it is asked again until no time is left.
+func (r *inflight) ensure(ctx context.Context, lacking reason, left time.Duration) (time.Duration, *refusal) {
+	askCtx, cancel := context.WithTimeout(ctx, left)
+	defer cancel()
+	ensured, err := r.gateway.Ensure(askCtx, r.service, r.need.Model, r.need.Adapter)
+	if ensured.Upstream != "" {
+		r.gateway.Directory.MergeResidency(ensured.Term, map[string]fleet.Residency{ensured.Upstream: ensured.Residency})
+		return 0, nil
+	}
+	if ctx.Err() != nil {
+		return 0, r.ended(ctx)
+	}
+	left = time.Until(r.deadlines.upstream)
+	if ensured.Ready > left || left < directoryPoll {
+		r.logNotProvided(ensured, err)
+		return 0, r.unserved(lacking, ensured.Ready)
+	}
+	// err needs no line of its own: either a later call succeeds, or the last one is logged.
+	return max(directoryPoll, min(ensured.Ready, left/2)), nil
+}
+
+func (r *inflight) logNotProvided(ensured residency.Ensured, err error) {
+	r.gateway.Log.Info("not provided",
+		zap.String("id", r.request.ID),
+		zap.String("model", r.need.Model),
+		zap.String("adapter", r.need.Adapter),
+		zap.Duration("ready", ensured.Ready),
+		zap.Int64("term", ensured.Term),
+		logfield.Error(err))
+}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,45 +13,43 @@
 	"ospreymoor.example/ospreymoor/pkg/eventstream"
 )
 
-// stream is the answer of a stream as far as the caller has it.
+// stream is a request that is answered by events, with the part of the answer that the caller has.
 type stream struct {
-	*run
+	*inflight
 	w http.ResponseWriter
-	// begun tells that the head has gone to the caller.
+	// begun is set once the head was passed on: from then on the request can't be refused.
 	begun bool
-	// lastEventID is the last whole event that the caller has.
+	// lastEventID is the id of the last whole event that the caller has; empty if there is none.
 	lastEventID string
-	events      int
 }
 
-// serveStream answers a request by events, from several back ends one after the other if the
-// route allows it.
-func (r *run) serveStream(ctx context.Context, w http.ResponseWriter) error {
-	s := &stream{run: r, w: w, lastEventID: r.request.LastEventID}
+// serveStream answers a request by events. If the route allows it, the stream resumes at another
+// upstream after the last whole event that the caller has.
+func (r *inflight) serveStream(ctx context.Context, w http.ResponseWriter) error {
+	s := &stream{inflight: r, w: w, lastEventID: r.request.LastEventID}
 	for {
-		allowed, short := r.maySend()
-		if !allowed {
-			return s.end(r.exhausted(reasonBroken, short))
+		if denied := s.takeAttempt(); denied != "" {
+			return s.end(s.deniedRefusal(denied, reasonBroken))
 		}
-		choice, refused := r.pick(ctx)
+		choice, refused := s.pick(ctx)
 		if refused != nil {
 			return s.end(refused)
 		}
-		over, err := s.attempt(ctx, choice)
-		if over {
+		done, err := s.attempt(ctx, choice)
+		switch {
+		case done:
 			return err
-		}
-		if ctx.Err() != nil {
-			return s.end(r.over(ctx))
-		}
-		if err != nil && !errors.Is(err, ErrNotSent) && !r.route.Idempotent() {
+		case ctx.Err() != nil:
+			return s.end(s.ended(ctx))
+		case !s.mayRetry(err):
 			return s.end(mayHaveRun(reasonBroken))
 		}
 	}
 }
 
-// attempt sends the request once and passes its events on. over tells that the answer is done.
-func (s *stream) attempt(ctx context.Context, choice dispatch.Choice) (over bool, err error) {
+// attempt sends the request once and passes its events on. done reports that the request is over;
+// err is then what Serve returns.
+func (s *stream) attempt(ctx context.Context, choice dispatch.Choice) (done bool, err error) {
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answer, ticket, err := s.send(sendCtx, choice, s.lastEventID)
@@ -61,7 +59,7 @@
 	}
 	if answer.NotExecuted {
 		discard(answer)
-		return false, nil
+		return false, errNotExecuted
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status != http.StatusOK {
@@ -69,21 +67,22 @@
 	}
 	err = s.pass(answer, ticket)
 	if err == nil {
-		s.gateway.Loads.RecordOutcome(s.last, true)
+		s.attemptSucceeded(choice)
 		s.logEnd(http.StatusOK, "", nil)
 		return true, nil
 	}
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 		return false, err
 	}
-	s.gateway.Loads.RecordOutcome(s.last, false)
-	s.logAttempt(choice, answer.Status, time.Since(s.request.Arrived), err)
+	s.attemptFailed(choice, answer.Status, time.Since(s.request.Arrived), err)
 	return false, err
 }
 
-// passFailure passes a failure on that a back end answered, or has another one try.
-func (s *stream) passFailure(answer *Answer) (over bool, err error) {
-	if s.begun || (answer.Status >= http.StatusInternalServerError && s.mayTryAgain()) {
+// passFailure passes the failure of an upstream on, or has another upstream try. A failure can't
+// follow events that the caller has. Unlike a plain answer, a failure that is not passed on at once
+// is not kept for later, so it is replaced only while the route allows one more run.
+func (s *stream) passFailure(answer *Answer) (done bool, err error) {
+	if s.begun || (s.mayReplace(answer.Status) && s.hasRunsLeft()) {
 		discard(answer)
 		return false, ErrBroken
 	}
@@ -94,14 +93,12 @@
 	return true, s.finish(s.w, held, nil)
 }
 
-func (s *stream) mayTryAgain() bool {
-	return s.route.Idempotent() && s.tries < s.route.MaxAttempts
-}
-
-// errCallerGone says that the caller's connection does not take the answer any more.
+// errCallerGone means that the caller's connection does not take the answer any more.
 const errCallerGone = errors.ConstError("caller's connection is gone")
 
-// pass copies whole events to the caller until the stream is complete.
+// pass copies whole events to the caller until the stream is complete. A part of an event is never
+// passed on, so that a resumption continues where the caller is. The error is ErrBroken if the upstream
+// broke off, and errCallerGone.
 func (s *stream) pass(answer *Answer, ticket *dispatch.Ticket) error {
 	events := eventstream.NewReader(answer.Body)
 	for {
@@ -125,14 +122,16 @@
 	}
 }
 
-// begin sends the head: that of the first back end whose events the caller gets.
+// begin passes the head on. It is that of the first upstream whose events the caller gets; upstreams
+// at which the stream resumes add events only.
 func (s *stream) begin(answer *Answer) {
 	s.begun = true
-	s.firstByte = time.Now()
+	s.timing.firstByte = time.Now()
 	maps.Copy(s.w.Header(), answer.Header)
 	s.w.WriteHeader(answer.Status)
 }
 
+// write passes one event on at once.
 func (s *stream) write(event eventstream.Event) error {
 	if _, err := s.w.Write(event.Bytes); err != nil {
 		return errors.WithType(err, errCallerGone)
@@ -140,22 +139,18 @@
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
 		return errors.WithType(err, errCallerGone)
 	}
-	now := time.Now()
-	if s.events > 0 {
-		s.longestGap = max(s.longestGap, now.Sub(s.lastEvent))
-	}
-	s.lastEvent = now
-	s.events++
+	s.timing.event()
 	if event.ID != "" {
 		s.lastEventID = event.ID
 	}
 	return nil
 }
 
-// end finishes a stream that no back end completes.
+// end finishes a stream that no upstream completes. Once it has begun it can only be broken off; the
+// status of the refusal is then only logged.
 func (s *stream) end(refused *refusal) error {
 	if !s.begun {
-		s.gateway.refuse(s.w, s.request, s.run, refused)
+		s.refuse(s.w, refused)
 		return nil
 	}
 	s.logEnd(refused.status, refused.reason, ErrAborted)
