--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -14,6 +14,7 @@
 	for {
 		candidates, lacking := r.candidates()
 		if choice, ok := r.gateway.Chooser.Choose(r.need, candidates); ok {
+			r.chosen = choice
 			return choice, r.admit(choice)
 		}
 		wait, refused := r.provide(ctx, lacking)
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -22,6 +22,8 @@
 	timing    timing
 	// demandNoted is set once the demand of a request that no engine could take was reported.
 	demandNoted bool
+	// chosen is the latest choice of an upstream, for the log; admission may have refused it.
+	chosen dispatch.Choice
 }
 
 func newInflight(g *Gateway, table *routes.Table, route *routes.Route, request *Request) *inflight {
@@ -74,15 +76,12 @@
 	mayHaveRun int
 	// upstreams are the ids of the upstreams that the request was sent to.
 	upstreams []string
-	// latest is what the latest one was chosen by.
-	latest dispatch.Choice
 }
 
 // begin counts one more attempt.
 func (a *attempts) begin(choice dispatch.Choice) {
 	a.sent++
 	a.upstreams = append(a.upstreams, choice.Upstream.ID)
-	a.latest = choice
 }
 
 // latestUpstream is the id of the upstream that the request was sent to last; empty if there is none.
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -58,8 +58,9 @@
 		logfield.Error(err))
 }
 
-// logEnd counts and logs how a request ended: once for each request, with what the latest attempt was
-// chosen by. cause is empty for the answer of an upstream; err is set if the answer was broken off.
+// logEnd counts and logs how a request ended: once for each request, with the latest choice of an
+// upstream, also one that admission refused. cause is empty for the answer of an upstream; err is
+// set if the answer was broken off.
 func (r *inflight) logEnd(status int, cause reason, err error) {
 	took := time.Since(r.request.Arrived)
 	first := took
@@ -68,7 +69,6 @@
 	}
 	r.countEnd(status, first, took)
 	g := r.gateway
-	chosen := r.attempts.latest
 	g.Log.Info("request over",
 		zap.String("id", r.request.ID),
 		zap.String("route", r.route.Name),
@@ -82,11 +82,11 @@
 		zap.String("reason", string(cause)),
 		zap.Duration("first", first),
 		zap.Duration("gap", r.timing.longestGap),
-		zap.Duration("predicted", chosen.Wait),
-		zap.Int("uncached", chosen.Uncached),
-		zap.Int("running", chosen.Load.Running),
-		zap.Ints("prefill", chosen.Load.Prefill[:]),
-		zap.Int("memory", chosen.Load.Tokens),
+		zap.Duration("predicted", r.chosen.Wait),
+		zap.Int("uncached", r.chosen.Uncached),
+		zap.Int("running", r.chosen.Load.Running),
+		zap.Ints("prefill", r.chosen.Load.Prefill[:]),
+		zap.Int("memory", r.chosen.Load.Tokens),
 		zap.Duration("took", took),
 		zap.Int64("configVersion", g.tableVersion()),
 		zap.Int64("listRevision", g.Directory.Revision()),
