--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 
 	"ospreymoor.example/ospreymoor/internal/cluster"
+	"ospreymoor.example/ospreymoor/internal/orderlease"
 	"ospreymoor.example/ospreymoor/internal/peer"
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 	"ospreymoor.example/ospreymoor/pkg/fleet"
-	"ospreymoor.example/ospreymoor/pkg/lease"
 	"ospreymoor.example/ospreymoor/pkg/logfield"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/residency"
@@ -59,17 +59,14 @@
 	client     *peer.Client
 	controller *residency.Controller
 	self       cluster.Box
-	lease      *lease.Lease
-	turn       *turnGuard
+	orders     *orderlease.Lease
 	// mirror is the copy of all that the store holds.
 	mirror *mirror.Mirror
 	view   storeView
 	// restSpread is this machine's part of restSpread.
 	restSpread time.Duration
-	// leaseWake has the order lease looked after at once.
-	leaseWake chan struct{}
-	server    *peer.Server
-	leaving   atomic.Bool
+	server     *peer.Server
+	leaving    atomic.Bool
 	// stopOrders ends the lease's contest.
 	stopOrders context.CancelFunc
 	background sync.WaitGroup
@@ -119,8 +116,7 @@
 	n.server = peer.NewServer(config.PeerSecret, config.Set)
 	n.exchange.Handle(n.server)
 	ensurer.Handle(n.server)
-	peer.Handle(n.server, methodYield, n.answerYield)
-	peer.Handle(n.server, methodRevoke, n.answerRevoke)
+	n.orders.Handle(n.server, n.controller.LastOrders)
 	return n
 }
 
@@ -143,27 +139,30 @@
 }
 
 func (n *Node) makeController(demand *residency.Demand) {
-	margin := n.config.LeaseTTL / marginsPerTTL
-	n.turn = newTurnGuard(n.config, n.config.LeaseTTL-margin, n.members.AddressOf, n.client)
-	n.leaseWake = make(chan struct{}, 1)
-	n.lease = lease.New(lease.Config{
+	n.orders = orderlease.New(orderlease.Config{
+		Name:      n.config.Name,
 		Store:     n.config.Platform.Store,
-		Key:       n.orderKey(),
-		Holder:    n.config.Name,
+		OwnPrefix: n.config.Platform.OwnPrefix,
 		TTL:       n.config.LeaseTTL,
-		Margin:    margin,
-		Reclaim:   true,
-		MayBeFree: n.orderLeaseFree,
-		Wake:      n.leaseWake,
-		Changed:   n.turn.changed,
+		OrderGap:  n.config.TurnTime,
+		Peers: orderlease.Peers{
+			AddressOf:      n.members.AddressOf,
+			ReachesStore:   n.members.ReachesStore,
+			StoreLostByAll: n.members.StoreLostByAll,
+			FollowsRelay:   n.members.FollowsRelay,
+		},
+		Client:  n.client,
+		State:   n.mirror.State,
+		Leaving: n.leaving.Load,
+		Log:     n.config.Log,
 	})
 	n.controller = residency.New(residency.Config{
 		Holder:       n.config.Name,
 		Directory:    n.Gateway.Directory,
 		Table:        n.Gateway.Table,
 		Engines:      n.config.Upstreams.Engines,
-		Term:         n.orderTerm,
-		NotBefore:    n.turn.notBefore,
+		Term:         n.orders.Term,
+		NotBefore:    n.orders.NotBefore,
 		Running:      func(backend string) int { return n.Gateway.Loads.Total(backend).Running },
 		Unresponsive: n.Gateway.Loads.Unresponsive,
 		Demand:       demand,
@@ -172,14 +171,17 @@
 	})
 }
 
+// storeLost tells whether this machine could not reach the store at its last tries.
+func (n *Node) storeLost() bool { return n.mirror.Lost() }
+
 // Run takes part in the system until ctx ends; peers call the listener.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	orders, stopOrders := context.WithCancel(ctx)
 	n.stopOrders = stopOrders
 	go n.server.Serve(listener)
 	n.start(func() { n.mirror.Run(ctx) })
-	n.start(func() { n.watchLease(ctx) })
-	n.start(func() { n.lease.Run(orders) })
+	n.start(func() { n.orders.ResignWhenCutOff(ctx) })
+	n.start(func() { n.orders.Run(orders) })
 	n.start(func() { n.controller.Run(orders) })
 	n.start(func() { n.exchange.Run(ctx) })
 	registration := &registration{
--- a/internal/gateway/storeview.go
+++ b/internal/gateway/storeview.go
@@ -16,9 +16,7 @@
 
 // Keys below the own prefix.
 const (
-	nodePart      = "nodes/"
-	orderPart     = "leases/orders"
-	lastHolderKey = "leases/last-order-holder"
+	nodePart = "nodes/"
 )
 
 // Times of the store's watch. A few machines ask often, so that changes that a silent watch
@@ -40,7 +38,7 @@
 )
 
 func (n *Node) watchQuiet() time.Duration {
-	if _, err := n.lease.Term(); err == nil {
+	if n.orders.Held() {
 		return holderQuiet
 	}
 	return otherQuiet
@@ -58,7 +56,7 @@
 	if n.members.WatchRank() < cluster.Watchers {
 		return false
 	}
-	if _, err := n.lease.Term(); err == nil {
+	if n.orders.Held() {
 		return false
 	}
 	limit := restTime
@@ -173,11 +171,7 @@
 	}
 	v.own = stamp
 	v.node.members.SetRegistered(v.boxes(state))
-	record, held := state.Records[v.node.orderKey()]
-	ours := held && string(record.Value) == v.node.config.Name && v.node.lease.Claim().Term == 0
-	if !held || ours {
-		v.node.wakeLease()
-	}
+	v.node.orders.Observe(state)
 }
 
 // boxes decodes the registrations of the boxes.
--- a/internal/gateway/messages.go
+++ b/internal/orderlease/messages.go
@@ -1,4 +1,4 @@
-package gateway
+package orderlease
 
 import (
 	"time"
@@ -6,7 +6,7 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// Methods that machines call on each other.
+// Methods that boxes call on each other.
 const (
 	methodYield  = "yield"
 	methodRevoke = "revoke"
@@ -18,7 +18,7 @@
 	To   string `json:"to"`
 }
 
-// yieldAnswer tells when the last orders were given.
+// yieldAnswer is when the last orders were given.
 type yieldAnswer struct {
 	// Ages of the last order, by engine.
 	Ages map[string]time.Duration `json:"ages"`
@@ -26,7 +26,12 @@
 	Others time.Duration `json:"others"`
 }
 
-// revokeRequest has a machine revoke a lease in the store.
+// revokeRequest has a box revoke a lease in the store.
 type revokeRequest struct {
 	Lease kv.LeaseID `json:"lease"`
 }
+
+// holderRecord is what the store keeps of the box that last gave orders.
+type holderRecord struct {
+	Name string `json:"name"`
+}
