--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -39,6 +39,25 @@
 
 func nodeName(n int) string { return fmt.Sprintf("n%02d", n) }
 
+// testConfig is a box on a store whose records name upstreams.
+func testConfig(name, hall, address string, store kv.Store) Config {
+	dialer := net.Dialer{Timeout: 200 * time.Millisecond}
+	return Config{
+		Name: name, Hall: hall, Cores: 0.2, PeerAddress: address,
+		Platform: Platform{
+			Store: store, ConfigPrefix: "config", UpstreamPrefix: "servers/", OwnPrefix: "own/",
+			DecodeTable: func(map[string]kv.Record) (*routes.Table, error) {
+				return routes.New(1, nil, nil, routes.Limits{}), nil
+			},
+			DecodeUpstream: func(record kv.Record) (fleet.Upstream, error) {
+				return fleet.Upstream{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
+			},
+		},
+		Upstreams: gateway.Upstreams{Forget: func(string) {}, Engines: residency.Engines{}},
+		OrderGap:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dialer.DialContext, Log: zap.NewNop(), Set: metrics.NewSet(),
+	}
+}
+
 func startLargeFleet(halls int) *largeFleet {
 	f := &largeFleet{}
 	memory := kv.NewMemory().Store()
@@ -53,24 +72,10 @@
 	}
 	put("config", "1")
 	put("servers/e1", "e1")
-	dialer := net.Dialer{Timeout: 200 * time.Millisecond}
 	for n := range halls * hallBoxes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		node := New(Config{
-			Name: nodeName(n), Hall: fmt.Sprint("z", n/hallBoxes), Cores: 0.2, PeerAddress: listener.Addr().String(),
-			Platform: Platform{
-				Store: store, ConfigPrefix: "config", UpstreamPrefix: "servers/", OwnPrefix: "own/",
-				DecodeTable: func(map[string]kv.Record) (*routes.Table, error) {
-					return routes.New(1, nil, nil, routes.Limits{}), nil
-				},
-				DecodeUpstream: func(record kv.Record) (fleet.Upstream, error) {
-					return fleet.Upstream{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
-				},
-			},
-			Upstreams: gateway.Upstreams{Forget: func(string) {}, Engines: residency.Engines{}},
-			OrderGap:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dialer.DialContext, Log: zap.NewNop(), Set: metrics.NewSet(),
-		})
+		node := New(testConfig(nodeName(n), fmt.Sprint("z", n/hallBoxes), listener.Addr().String(), store))
 		ctx, stop := context.WithCancel(context.Background())
 		f.nodes = append(f.nodes, node)
 		f.stops = append(f.stops, stop)
--- a/internal/orderlease/handover_test.go
+++ b/internal/orderlease/handover_test.go
@@ -20,7 +20,10 @@
 
 const orderGap = 400 * time.Millisecond
 
+var suiteT *testing.T
+
 func TestOrderLease(t *testing.T) {
+	suiteT = t
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "Order lease")
 }
--- /dev/null
+++ b/internal/storeview/storeview_test.go
@@ -0,0 +1,191 @@
+package storeview
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"ospreymoor.example/ospreymoor/internal/cluster"
+	"ospreymoor.example/ospreymoor/internal/orderlease"
+	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/mirror"
+	"ospreymoor.example/ospreymoor/pkg/routes"
+)
+
+var suiteT *testing.T
+
+func TestStoreView(t *testing.T) {
+	suiteT = t
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Store view")
+}
+
+// fixture is a view on a store in memory, and what it handed on.
+type fixture struct {
+	*View
+	members   *cluster.Members
+	directory *fleet.Directory
+	tables    []*routes.Table
+	forgotten []string
+	logged    *observer.ObservedLogs
+}
+
+func newFixture(store kv.Store) *fixture {
+	core, logged := observer.New(zap.InfoLevel)
+	f := &fixture{directory: fleet.New(), logged: logged}
+	f.members = cluster.NewMembers(cluster.Box{Name: "b"}, func() bool { return false })
+	f.View = New(Config{
+		Platform: Platform{
+			Store: store, ConfigPrefix: "config", UpstreamPrefix: "servers/", OwnPrefix: "own/",
+			DecodeTable: func(records map[string]kv.Record) (*routes.Table, error) {
+				if string(records["config"].Value) == "bad" {
+					return nil, errors.New("bad")
+				}
+				return routes.New(records["config"].Revision, nil, nil, routes.Limits{}), nil
+			},
+			DecodeUpstream: func(record kv.Record) (fleet.Upstream, error) {
+				if string(record.Value) == "bad" {
+					return fleet.Upstream{}, errors.New("bad")
+				}
+				return fleet.Upstream{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
+			},
+		},
+		Directory: f.directory,
+		Members:   f.members,
+		OrderLease: orderlease.New(orderlease.Config{
+			Name: "b", Store: store, OwnPrefix: "own/", TTL: 3 * time.Second,
+			Peers: orderlease.Peers{FollowsRelay: f.members.FollowsRelay}, Log: zap.NewNop(),
+		}),
+		SetTable: func(table *routes.Table) bool {
+			f.tables = append(f.tables, table)
+			return true
+		},
+		Forget: func(upstream string) { f.forgotten = append(f.forgotten, upstream) },
+		Log:    zap.New(core),
+	})
+	return f
+}
+
+// stateOf is a copy of the store with records by key; each value is at the given revision.
+func stateOf(revision int64, records map[string]string) mirror.State {
+	state := mirror.State{Revision: revision, Records: map[string]kv.Record{}}
+	for key, value := range records {
+		state.Records[key] = kv.Record{Key: key, Value: []byte(value), Revision: revision}
+	}
+	return state
+}
+
+var _ = Describe("the view of the store", func() {
+	It("hands each part of the store to its owner", func() {
+		f := newFixture(kv.NewMemory().Store())
+		f.take(stateOf(3, map[string]string{
+			"config": "1", "servers/e1": "e1", "own/nodes/a": `{"name":"a","address":"a:1"}`,
+		}))
+		Expect(f.tables).To(HaveLen(1))
+		Expect(f.directory.Of("s")).To(HaveLen(1))
+		address, ok := f.members.AddressOf("a")
+		Expect(ok).To(BeTrue())
+		Expect(address).To(Equal("a:1"))
+	})
+
+	It("logs what it can't decode, and goes on with the rest", func() {
+		f := newFixture(kv.NewMemory().Store())
+		f.take(stateOf(3, map[string]string{
+			"config": "bad", "servers/e1": "bad", "servers/e2": "e2", "own/nodes/a": "{", "own/nodes/c": `{"name":"c"}`,
+		}))
+		Expect(f.directory.Of("s")).To(HaveLen(1))
+		_, ok := f.members.AddressOf("c")
+		Expect(ok).To(BeTrue())
+		for _, text := range []string{"configuration not understood", "back end not understood", "box record not understood"} {
+			Expect(f.logged.FilterMessage(text).Len()).To(Equal(1), text)
+		}
+	})
+
+	It("decodes a configuration once", func() {
+		f := newFixture(kv.NewMemory().Store())
+		state := stateOf(3, map[string]string{"config": "1"})
+		f.take(state)
+		state.Revision = 4
+		f.take(state)
+		Expect(f.tables).To(HaveLen(1))
+	})
+
+	It("has upstreams that went forgotten", func() {
+		f := newFixture(kv.NewMemory().Store())
+		f.NoteChanges([]fleet.Change{
+			{Kind: fleet.Joined, Upstream: fleet.Upstream{ID: "e1"}},
+			{Kind: fleet.Removed, Upstream: fleet.Upstream{ID: "e2"}},
+		})
+		Expect(f.forgotten).To(Equal([]string{"e2"}))
+	})
+})
+
+var _ = Describe("when the store is asked", func() {
+	It("is always by the box that ranks first", func() {
+		f := newFixture(kv.NewMemory().Store())
+		Expect(f.pollTimeout()).To(Equal(firstPoll))
+		Expect(f.batchDelay()).To(Equal(otherBatch))
+		f.mirror.ConfirmCurrent(0, time.Now())
+		Expect(f.paused()).To(BeFalse())
+	})
+})
+
+var _ = Describe("the registration of a box", func() {
+	It("is listed, renewed, made anew when it is lost, and ended with the box", func() {
+		synctest.Test(suiteT, func(*testing.T) {
+			defer GinkgoRecover()
+			store := kv.NewMemory().Store()
+			registration := NewRegistration(Platform{Store: store, OwnPrefix: "own/"}, cluster.Box{Name: "b", Address: "b:1"}, zap.NewNop())
+			ctx, cancel := context.WithCancel(context.Background())
+			done := make(chan struct{})
+			go func() { registration.Run(ctx); close(done) }()
+			listed := func() error {
+				_, err := store.Get(context.Background(), "own/nodes/b")
+				return err
+			}
+			time.Sleep(30 * time.Second)
+			synctest.Wait()
+			Expect(listed()).To(Succeed())
+			Expect(store.Revoke(context.Background(), registration.lease)).To(Succeed())
+			Expect(listed()).To(MatchError(kv.ErrNotFound))
+			time.Sleep(2 * registrationRenewal)
+			synctest.Wait()
+			Expect(listed()).To(Succeed())
+			cancel()
+			<-done
+			Expect(listed()).To(MatchError(kv.ErrNotFound))
+		})
+	})
+
+	It("is tried again when the store fails, with one log line", func() {
+		synctest.Test(suiteT, func(*testing.T) {
+			defer GinkgoRecover()
+			memory := kv.NewMemory().Store()
+			store := memory
+			failing := true
+			store.Grant = func(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
+				if failing {
+					return 0, kv.ErrUnavailable
+				}
+				return memory.Grant(ctx, ttl)
+			}
+			core, logged := observer.New(zap.InfoLevel)
+			registration := NewRegistration(Platform{Store: store, OwnPrefix: "own/"}, cluster.Box{Name: "b"}, zap.New(core))
+			for range 5 {
+				Expect(registration.next(context.Background())).To(Equal(registrationRetry))
+			}
+			Expect(logged.Len()).To(Equal(1))
+			failing = false
+			Expect(registration.next(context.Background())).To(Equal(registrationRenewal))
+			Expect(registration.listed).To(BeTrue())
+		})
+	})
+})
