--- /dev/null
+++ b/pkg/dispatch/prediction.go
@@ -0,0 +1,125 @@
+package dispatch
+
+import (
+	"time"
+
+	"ospreymoor.example/ospreymoor/pkg/fleet"
+)
+
+// The prediction goes by the times of an engine that runs a model of 70 billion parameters. How far
+// the model and the upstream are from that is learned as a factor. All of them came with commit
+// bc3a7c4; no run of ours that measured them is recorded.
+const (
+	// prefillTokensPerMillisecond is how fast an engine reads prompts.
+	prefillTokensPerMillisecond = 38.0
+	// stepTime is the time of one decoding step, and stepTimePerRunning what each running request
+	// adds to it.
+	stepTime           = 5 * time.Millisecond
+	stepTimePerRunning = 20 * time.Microsecond
+	// prefillDelayPerRunning is the time by which each running request holds up the prompts.
+	prefillDelayPerRunning = time.Millisecond
+	// answerTokenTime is the engine time of one token of an answer, which shares its step with
+	// those of other requests.
+	answerTokenTime = 150 * time.Microsecond
+)
+
+const (
+	// fullServiceWait is the wait expected at a plain service with a request in each slot. It grows
+	// with the square of the requests a slot. Chosen, not measured.
+	fullServiceWait = 60 * time.Millisecond
+	// fullPenalty is added where no slot or not enough memory is free. Chosen, not measured.
+	fullPenalty = 400 * time.Millisecond
+	// otherHallPenalty is added for the way to an upstream of another hall. Chosen, not measured.
+	otherHallPenalty = 2 * time.Millisecond
+	// memoryFullShare is the share of an engine's memory from which it counts as full. Chosen, not
+	// measured.
+	memoryFullShare = 0.92
+)
+
+// Requirements is what a request needs of an upstream.
+type Requirements struct {
+	Service string
+	// Model and Adapter are empty for plain services.
+	Model   string
+	Adapter string
+	// Blocks are the prefixes of the prompt, shortest first.
+	Blocks       []PrefixBlock
+	PromptTokens int
+	// AnswerTokens is the expected length of the answer, or the longest one that is allowed.
+	AnswerTokens int
+	// Urgency of the request; 0 is the most urgent.
+	Urgency int
+	// CacheTokens is an engine's memory for prompts and answers, in tokens; 0 is unknown.
+	CacheTokens int
+}
+
+// Choice is an upstream with what is expected there.
+type Choice struct {
+	Upstream *fleet.State
+	// Wait is the predicted time to the first token, or to the begin of a plain service's answer.
+	Wait time.Duration
+	// Uncached is the prompt tokens that the engine has to read; 0 for plain services.
+	Uncached int
+	// Load of the upstream from all boxes that the prediction went by.
+	Load Load
+}
+
+// predict predicts the time to the first token at an upstream:
+//
+//	engine:  ((ahead + uncached prompt) / prefill speed + running * delay) * model factor + step
+//	service: (running / slots)² * fullServiceWait
+//
+// times the upstream's factor, and with the penalties of a full upstream and of another hall. The
+// caller holds the tracker's lock.
+func (c *Chooser) predict(need Requirements, upstream *fleet.State, record *upstreamRecord) Choice {
+	load := c.Loads.total(upstream.ID, record)
+	choice := Choice{Upstream: upstream, Load: load}
+	full := upstream.Slots > 0 && load.Running >= upstream.Slots
+	if need.Model == "" {
+		choice.Wait = serviceWait(load, upstream.Slots)
+	} else {
+		record.cacheCapacity = prefixCacheCapacity(need.CacheTokens)
+		choice.Uncached = max(1, need.PromptTokens-record.cache.cachedTokens(need.Blocks))
+		choice.Wait = c.Loads.engineWait(need, load, choice.Uncached)
+		full = full || memoryFull(need, load)
+	}
+	choice.Wait = scale(choice.Wait, record.factor)
+	if full {
+		choice.Wait += fullPenalty
+	}
+	if upstream.Hall != c.Hall {
+		choice.Wait += otherHallPenalty
+	}
+	return choice
+}
+
+func serviceWait(load Load, slots int) time.Duration {
+	perSlot := float64(load.Running) / float64(max(1, slots))
+	return time.Duration(perSlot * perSlot * float64(fullServiceWait))
+}
+
+func (t *LoadTracker) engineWait(need Requirements, load Load, uncached int) time.Duration {
+	work := prefillTime(load.prefillAhead(need.Urgency) + uncached)
+	work += time.Duration(load.Running) * prefillDelayPerRunning
+	step := stepTime + time.Duration(load.Running)*stepTimePerRunning
+	return scale(work, t.modelFactor(need.Model)) + step
+}
+
+// memoryFull reports whether the request has probably no room in an engine's memory beside those
+// that run there.
+func memoryFull(need Requirements, load Load) bool {
+	taken := load.Tokens + need.PromptTokens + need.AnswerTokens
+	return need.CacheTokens > 0 && float64(taken) > memoryFullShare*float64(need.CacheTokens)
+}
+
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / prefillTokensPerMillisecond * float64(time.Millisecond))
+}
+
+// Work estimates the engine time that a request costs, which is the demand that placement goes by.
+func (t *LoadTracker) Work(need Requirements, uncached int) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	work := prefillTime(uncached) + time.Duration(need.AnswerTokens)*answerTokenTime
+	return scale(work, t.modelFactor(need.Model))
+}
--- /dev/null
+++ b/pkg/dispatch/ticket.go
@@ -0,0 +1,70 @@
+package dispatch
+
+import "time"
+
+// Ticket is one request under way at one upstream. Its load counts until End.
+type Ticket struct {
+	tracker  *LoadTracker
+	upstream string
+	model    string
+	load     Load
+	sentAt   time.Time
+	// predicted time to the first token when the request was sent.
+	predicted time.Duration
+	started   bool
+	ended     bool
+	onEnd     func()
+}
+
+// Begin records that a request is sent to the chosen upstream.
+func (t *LoadTracker) Begin(choice Choice, need Requirements) *Ticket {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	id := choice.Upstream.ID
+	record := t.record(id)
+	load := Load{Running: 1, Waiting: 1}
+	if len(need.Blocks) > 0 || need.PromptTokens > 0 {
+		load.Prefill[urgencyLevel(need.Urgency)] = choice.Uncached
+		load.Tokens = need.PromptTokens + need.AnswerTokens
+		t.recordPrompt(id, record, need)
+	}
+	record.own.Add(load)
+	return &Ticket{tracker: t, upstream: id, model: need.Model, load: load, sentAt: time.Now(), predicted: choice.Wait}
+}
+
+// OnEnd has End call f once, with the tracker locked: f must not use the tracker. It is to be set
+// before the ticket is shared between goroutines.
+func (t *Ticket) OnEnd(f func()) { t.onEnd = f }
+
+// Started records the first token, or the begin of the answer of a plain service. Calls after the
+// first one and after End do nothing.
+func (t *Ticket) Started() {
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	if t.started || t.ended {
+		return
+	}
+	t.started = true
+	record := t.tracker.record(t.upstream)
+	record.own.finishPrefill(t.load)
+	t.tracker.learn(record, t.model, t.predicted, time.Since(t.sentAt))
+}
+
+// End records that the request is over, however it ended. Calls after the first one do nothing.
+func (t *Ticket) End() {
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	if t.ended {
+		return
+	}
+	t.ended = true
+	if t.onEnd != nil {
+		t.onEnd()
+	}
+	record := t.tracker.record(t.upstream)
+	if !t.started {
+		record.own.finishPrefill(t.load)
+	}
+	record.own.Running--
+	record.own.Tokens -= t.load.Tokens
+}
