--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -9,6 +9,6 @@
 //
 // Small fleets exchange in a full mesh, large ones by one relay a hall; see fullMesh.
 //
-// Its look-alike of `ospreymoor serve` is pkg/membership: there, boxes send heartbeats to all
-// others and hall controllers add up what their halls ask for.
+// Its look-alike of `ospreymoor serve` is pkg/membership with the heartbeats of internal/box: there
+// the beats carry counts of dispatches instead of load summaries, and hall controllers add demand up.
 package cluster
--- a/internal/cluster/ensure.go
+++ b/internal/cluster/ensure.go
@@ -9,7 +9,7 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// errNoHolder says that no box is known to give orders.
+// errNoHolder means that no box is known to give orders.
 const errNoHolder = errors.ConstError("no machine is known to hold the order lease: wait for the next one")
 
 // Ensurer asks the order holder for models and adapters.
