--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -2,15 +2,19 @@
 
 import (
 	"context"
+	"errors"
+	"net"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"github.com/VictoriaMetrics/metrics"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 	"go.uber.org/zap"
 
+	"ospreymoor.example/ospreymoor/internal/peer"
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/residency"
@@ -19,8 +23,8 @@
 // contender is a box on a store that can be cut off from it.
 type contender struct {
 	*Lease
-	cutOff, lostByAll, leaving atomic.Bool
-	state                      atomic.Pointer[mirror.State]
+	cutOff, lostByAll, leaving, otherReaches atomic.Bool
+	state                                    atomic.Pointer[mirror.State]
 }
 
 func contend(ctx context.Context, store kv.Store) *contender {
@@ -33,19 +37,21 @@
 		}
 		return store.Renew(ctx, id)
 	}
-	unknown := func() (string, bool) { return "", false }
+	noDial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no network") }
 	c.Lease = New(Config{
 		Name: "b", Store: cut, TTL: 3 * time.Second, OrderGap: time.Second, Log: zap.NewNop(),
 		Peers: Peers{
 			AddressOf:      func(string) (string, bool) { return "", false },
-			ReachesStore:   unknown,
+			ReachesStore:   func() (string, bool) { return "c:1", c.otherReaches.Load() },
 			StoreLostByAll: c.lostByAll.Load,
 			FollowsRelay:   func() bool { return false },
 		},
+		Client:  peer.NewClient("", noDial, metrics.NewSet()),
 		State:   func() mirror.State { return *c.state.Load() },
 		Leaving: c.leaving.Load,
 	})
 	go c.Run(ctx)
+	go c.ResignWhenCutOff(ctx)
 	return c
 }
 
@@ -108,6 +114,31 @@
 		})
 	})
 
+	It("is resigned when it can't be renewed and another box reaches the store, and kept when none does", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			time.Sleep(5 * time.Second)
+			c.cutOff.Store(true)
+			time.Sleep(resignAfter + resignCheck)
+			Expect(c.lease.Claim().Term).NotTo(BeZero())
+			c.otherReaches.Store(true)
+			time.Sleep(2 * resignCheck)
+			Expect(c.lease.Claim().Term).To(BeZero())
+		})
+	})
+
+	It("is revoked in the store for a box that does not reach it", func() {
+		store := kv.NewMemory().Store()
+		id, err := store.Grant(context.Background(), time.Minute)
+		Expect(err).NotTo(HaveOccurred())
+		_, err = store.Swap(context.Background(), kv.Swap{Key: leaseKey, Value: []byte("b"), Lease: id})
+		Expect(err).NotTo(HaveOccurred())
+		l := New(Config{Name: "c", Store: store, TTL: 3 * time.Second, Log: zap.NewNop()})
+		_, err = l.answerRevoke(context.Background(), revokeRequest{Lease: id})
+		Expect(err).NotTo(HaveOccurred())
+		_, err = store.Get(context.Background(), leaseKey)
+		Expect(err).To(MatchError(kv.ErrNotFound))
+	})
+
 	It("stops this box's orders at a yield call, and reports the ages of its last ones", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			time.Sleep(5 * time.Second)
