--- /dev/null
+++ b/pkg/fleet/state.go
@@ -0,0 +1,42 @@
+package fleet
+
+import "time"
+
+// State is an upstream with everything known of it. It does not change once made.
+type State struct {
+	Upstream
+	// ListedAt is when the list last had a new entry of it.
+	ListedAt time.Time
+	// DropAt is when an upstream whose entry lapsed is dropped; zero while it is listed.
+	DropAt time.Time
+
+	// adapters that are loaded, by model: those listed, and those of the residency in their place.
+	adapters map[string][]string
+	// withdrawn, loaded, dropped and busy are those of the residency.
+	withdrawn []string
+	loaded    []string
+	dropped   []string
+	busy      bool
+}
+
+// Busy reports whether the engine loads or unloads a model, so that it takes no other order.
+func (s *State) Busy() bool { return s.busy }
+
+// join makes the state of a listed upstream from its entry and its residency. The caller holds the
+// lock.
+func (d *Directory) join(upstream Upstream) *State {
+	state := &State{Upstream: upstream, ListedAt: time.Now(), adapters: map[string][]string{}}
+	for _, holding := range upstream.Models {
+		state.adapters[holding.Model] = holding.Adapters
+	}
+	if latest, ok := d.residencies[upstream.ID]; ok {
+		for model, adapters := range latest.Adapters {
+			state.adapters[model] = adapters
+		}
+		state.withdrawn = latest.Withdrawn
+		state.loaded = latest.Loaded
+		state.dropped = latest.Dropped
+		state.busy = latest.Busy
+	}
+	return state
+}
