--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -31,6 +31,12 @@
 	c := &contender{}
 	c.state.Store(&mirror.State{Revision: 1})
 	cut := store
+	cut.Get = func(ctx context.Context, key string) (kv.Record, error) {
+		if c.cutOff.Load() {
+			return kv.Record{}, kv.ErrUnavailable
+		}
+		return store.Get(ctx, key)
+	}
 	cut.Renew = func(ctx context.Context, id kv.LeaseID) error {
 		if c.cutOff.Load() {
 			return kv.ErrUnavailable
