--- /dev/null
+++ b/internal/orderlease/lease_test.go
@@ -0,0 +1,161 @@
+package orderlease
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+	"go.uber.org/zap"
+
+	"ospreymoor.example/ospreymoor/internal/peer"
+	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/mirror"
+	"ospreymoor.example/ospreymoor/pkg/residency"
+)
+
+// contender is a box on a store that can be cut off from it.
+type contender struct {
+	*Lease
+	cutOff, lostByAll, leaving, otherReaches atomic.Bool
+	state                                    atomic.Pointer[mirror.State]
+}
+
+func contend(ctx context.Context, store kv.Store) *contender {
+	c := &contender{}
+	c.state.Store(&mirror.State{Revision: 1})
+	cut := store
+	cut.Get = func(ctx context.Context, key string) (kv.Record, error) {
+		if c.cutOff.Load() {
+			return kv.Record{}, kv.ErrUnavailable
+		}
+		return store.Get(ctx, key)
+	}
+	cut.Renew = func(ctx context.Context, id kv.LeaseID) error {
+		if c.cutOff.Load() {
+			return kv.ErrUnavailable
+		}
+		return store.Renew(ctx, id)
+	}
+	noDial := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no network") }
+	c.Lease = New(Config{
+		Name: "b", Store: cut, TTL: 3 * time.Second, OrderGap: time.Second, Log: zap.NewNop(),
+		Peers: Peers{
+			AddressOf:      func(string) (string, bool) { return "", false },
+			ReachesStore:   func() (string, bool) { return "c:1", c.otherReaches.Load() },
+			StoreLostByAll: c.lostByAll.Load,
+			FollowsRelay:   func() bool { return false },
+		},
+		Client:  peer.NewClient("", noDial, metrics.NewSet()),
+		State:   func() mirror.State { return *c.state.Load() },
+		Leaving: c.leaving.Load,
+	})
+	go c.Run(ctx)
+	go c.ResignWhenCutOff(ctx)
+	return c
+}
+
+// inBubble runs f on a lease in a bubble of its own time.
+func inBubble(f func(c *contender, store kv.Store)) {
+	synctest.Test(suiteT, func(*testing.T) {
+		defer GinkgoRecover()
+		store := kv.NewMemory().Store()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() {
+			cancel()
+			time.Sleep(10 * time.Second) // What was begun for a term ends with it.
+		}()
+		f(contend(ctx, store), store)
+	})
+}
+
+var _ = Describe("the order lease", func() {
+	It("allows orders once it is held and the former holder's time is over", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			time.Sleep(time.Second)
+			Expect(c.Held()).To(BeTrue())
+			_, err := c.Term()
+			Expect(err).To(MatchError(residency.ErrWaiting))
+			time.Sleep(3 * time.Second)
+			_, err = c.Term()
+			Expect(err).NotTo(HaveOccurred())
+		})
+	})
+
+	It("ends orders a quarter of its time before it runs out, unless no box reaches the store", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			time.Sleep(5 * time.Second)
+			term, err := c.Term()
+			Expect(err).NotTo(HaveOccurred())
+			c.cutOff.Store(true)
+			time.Sleep(2300 * time.Millisecond)
+			_, err = c.Term()
+			Expect(err).To(MatchError(residency.ErrNotHolder))
+			c.lostByAll.Store(true)
+			Expect(c.Term()).To(Equal(term))
+		})
+	})
+
+	It("is not contended for while another box holds it, the store is unknown or this box leaves", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			Expect(c.mayBeFree()).To(BeTrue())
+			c.leaving.Store(true)
+			Expect(c.mayBeFree()).To(BeFalse())
+			c.leaving.Store(false)
+			c.state.Store(&mirror.State{})
+			Expect(c.mayBeFree()).To(BeFalse())
+			held := func(name string) *mirror.State {
+				return &mirror.State{Revision: 2, Records: map[string]kv.Record{leaseKey: {Key: leaseKey, Value: []byte(name)}}}
+			}
+			c.state.Store(held("other"))
+			Expect(c.mayBeFree()).To(BeFalse())
+			c.state.Store(held("b"))
+			Expect(c.mayBeFree()).To(BeTrue())
+		})
+	})
+
+	It("is resigned when it can't be renewed and another box reaches the store, and kept when none does", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			time.Sleep(5 * time.Second)
+			c.cutOff.Store(true)
+			time.Sleep(resignAfter + resignCheck)
+			Expect(c.lease.Claim().Term).NotTo(BeZero())
+			c.otherReaches.Store(true)
+			time.Sleep(2 * resignCheck)
+			Expect(c.lease.Claim().Term).To(BeZero())
+		})
+	})
+
+	It("is revoked in the store for a box that does not reach it", func() {
+		store := kv.NewMemory().Store()
+		id, err := store.Grant(context.Background(), time.Minute)
+		Expect(err).NotTo(HaveOccurred())
+		_, err = store.Swap(context.Background(), kv.Swap{Key: leaseKey, Value: []byte("b"), Lease: id})
+		Expect(err).NotTo(HaveOccurred())
+		l := New(Config{Name: "c", Store: store, TTL: 3 * time.Second, Log: zap.NewNop()})
+		_, err = l.answerRevoke(context.Background(), revokeRequest{Lease: id})
+		Expect(err).NotTo(HaveOccurred())
+		_, err = store.Get(context.Background(), leaseKey)
+		Expect(err).To(MatchError(kv.ErrNotFound))
+	})
+
+	It("stops this box's orders at a yield call, and reports the ages of its last ones", func() {
+		inBubble(func(c *contender, _ kv.Store) {
+			time.Sleep(5 * time.Second)
+			term, err := c.Term()
+			Expect(err).NotTo(HaveOccurred())
+			answer := c.yield(yieldRequest{Term: term + 1, To: "c"}, func() map[string]time.Duration {
+				return map[string]time.Duration{"e": time.Millisecond}
+			})
+			Expect(answer.Ages).To(HaveKeyWithValue("e", time.Millisecond))
+			_, err = c.Term()
+			Expect(err).To(MatchError(residency.ErrNotHolder))
+		})
+	})
+})
