--- a/internal/orderlease/handover_test.go
+++ b/internal/orderlease/handover_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"sync/atomic"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -129,13 +130,16 @@
 	})
 
 	It("passes on the waits that it is under itself", func() {
-		next, _ := formerHolder(nil)
-		next.started = time.Now().Add(-time.Hour)
-		next.waits.byEngine = map[string]time.Time{"e1": time.Now().Add(orderGap / 2)}
-		answer := next.lastOrders(map[string]time.Duration{"e2": time.Millisecond})
-		Expect(answer.Ages["e1"]).To(BeNumerically("~", orderGap/2, 50*time.Millisecond))
-		Expect(answer.Ages["e2"]).To(Equal(time.Millisecond))
-		Expect(answer.Others).To(BeNumerically(">", orderGap))
+		synctest.Test(suiteT, func(*testing.T) {
+			defer GinkgoRecover()
+			next := newHandover(Config{Name: "new", OrderGap: orderGap, Log: zap.NewNop()}, 300*time.Millisecond)
+			next.started = time.Now().Add(-time.Hour)
+			next.waits.byEngine = map[string]time.Time{"e1": time.Now().Add(orderGap / 2)}
+			answer := next.lastOrders(map[string]time.Duration{"e2": time.Millisecond})
+			Expect(answer.Ages["e1"]).To(Equal(orderGap / 2))
+			Expect(answer.Ages["e2"]).To(Equal(time.Millisecond))
+			Expect(answer.Others).To(BeNumerically(">", orderGap))
+		})
 	})
 
 	It("waits in full when the record of the last order holder is unreadable, and logs that once", func() {
