--- a/internal/orderlease/handover.go
+++ b/internal/orderlease/handover.go
@@ -19,7 +19,7 @@
 // handover keeps a new holder of the order lease from giving an engine orders before those of the
 // former holder are surely over. When orders may begin:
 //
-//   - The box that gave orders last is this one: at once.
+//   - The box that gave orders last is this one: at once, but for the waits that it is still under.
 //   - The former holder answers the yield call: it has stopped, and each engine may be given orders
 //     the order gap after the last order that it reports.
 //   - The former holder's address refuses the connection: no process of it lives, so its last order
@@ -119,13 +119,16 @@
 		former = h.decode(record)
 	}
 	if former == h.name {
-		h.begin(term, nil)
+		h.begin(term)
 		return true
 	}
 	after, ok := h.waitsAfter(ctx, term, former, gained)
 	if !ok {
 		return false
 	}
+	// They are kept before the swap: if it takes effect and its answer is lost, the next try finds
+	// this box's own name.
+	h.keep(after)
 	value, err := json.Marshal(holderRecord{Name: h.name})
 	if err != nil {
 		return false // It can't fail: a string is all that is encoded.
@@ -133,7 +136,7 @@
 	if _, err := h.store.Swap(ctx, kv.Swap{Key: h.key, Revision: record.Revision, Value: value}); err != nil {
 		return false
 	}
-	h.begin(term, &after)
+	h.begin(term)
 	return true
 }
 
@@ -197,20 +200,25 @@
 	return h.term == term
 }
 
-// begin allows orders under a term; nil waits leave those that hold as they are.
-func (h *handover) begin(term int64, after *waits) {
+// keep takes the waits after a former holder. They hold until those after another one replace them.
+func (h *handover) keep(after waits) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.waits = after
+}
+
+// begin allows orders under a term, after the waits that are kept.
+func (h *handover) begin(term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.term != term {
 		return
 	}
 	h.begun = true
-	var fresh waits
-	if after != nil {
-		fresh = *after
-		h.waits = fresh
-	}
-	h.log.Info("orders may begin", zap.Int64("term", term), zap.Duration("wait", max(0, time.Until(fresh.others))), zap.Int("engines", len(fresh.byEngine)))
+	h.log.Info("orders may begin",
+		zap.Int64("term", term),
+		zap.Duration("wait", max(0, time.Until(h.waits.others))),
+		zap.Int("engines", len(h.waits.byEngine)))
 }
 
 // done reports whether orders may be given under a term.
--- a/internal/orderlease/handover_test.go
+++ b/internal/orderlease/handover_test.go
@@ -158,6 +158,24 @@
 		Expect(logged.All()[0].Message).To(ContainSubstring("last order holder not understood"))
 	})
 
+	It("keeps the waits when the answer to the record of its name is lost", func() {
+		next, store := formerHolder(nil)
+		lost := false
+		next.store.Swap = func(ctx context.Context, swap kv.Swap) (kv.Record, error) {
+			record, err := store.Swap(ctx, swap)
+			if !lost {
+				lost = true
+				return kv.Record{}, kv.ErrUnknown
+			}
+			return record, err
+		}
+		begun := time.Now()
+		next.changed(7)
+		Eventually(func() bool { return next.done(7) }).WithTimeout(2 * time.Second).Should(BeTrue())
+		Expect(lost).To(BeTrue())
+		Expect(next.notBefore("any")).To(BeTemporally(">=", begun.Add(orderGap)))
+	})
+
 	It("forgets a term that was lost meanwhile", func() {
 		next, _ := formerHolder(nil)
 		next.changed(7)
