--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -53,6 +53,8 @@
 	servers  []*http.Server
 	// starts counts the starts of each box, so that each gets addresses of its own.
 	starts int
+	// platformCalls counts the calls to the platform.
+	platformCalls *callCounter
 }
 
 // testBox is one life of a box.
@@ -101,7 +103,8 @@
 	}
 	t.platform.Weights.BytesPerSecond, t.platform.Fault = spec.weightSpeed, spec.fault
 	t.client = &http.Client{Transport: plainTransport(t.net.dialer("client"))}
-	t.serve("platform:1", t.platform.Handler())
+	t.platformCalls = newCallCounter(t.platform.Handler())
+	t.serve("platform:1", t.platformCalls)
 	for h := 1; h <= spec.halls; h++ {
 		hall := fmt.Sprintf("h%d", h)
 		for e := 1; e <= spec.engines; e++ {
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"net/http"
 	"sort"
 
 	"connectrpc.com/connect"
@@ -14,9 +12,10 @@
 	enginev1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/engine/v1"
 )
 
+// errLeaving refuses requests at an engine that leaves.
 var errLeaving = errors.New(engine.ReasonLeaving)
 
-// Load begins to bring an item in.
+// Load begins to load an item, unless it is resident or loading.
 func (e *Engine) Load(ctx context.Context, r *connect.Request[enginev1.LoadRequest]) (*connect.Response[enginev1.LoadResponse], error) {
 	if err := e.order(ctx, "load", r.Msg.GetAuthority()); err != nil {
 		return nil, err
@@ -44,10 +43,7 @@
 			return nil, connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("request %s uses %s", id, name))
 		}
 	}
-	if e.resident[name] != nil {
-		delete(e.resident, name)
-		e.record.Unloads++
-	}
+	delete(e.resident, name)
 	return connect.NewResponse(&enginev1.UnloadResponse{}), nil
 }
 
@@ -77,7 +73,7 @@
 	return connect.NewResponse(e.state()), nil
 }
 
-// order checks who orders. When it returns no error, the caller holds the lock.
+// order checks the authority of an order. It returns with the lock held if it returns no error.
 func (e *Engine) order(ctx context.Context, name string, authority *enginev1.Authority) error {
 	if e.OnOrder != nil {
 		if err := e.OnOrder(ctx, name); err != nil {
@@ -101,7 +97,8 @@
 	return nil
 }
 
-// fetch brings an item's weights in and makes it resident, if the engine is still the same.
+// fetch loads an item's weights and makes it resident, unless the engine was restarted meanwhile.
+// A failed fetch leaves the item absent, as engines do: whoever ordered it finds that in the state.
 func (e *Engine) fetch(incarnation string, item *enginev1.Item) {
 	var err error
 	if e.Fetch != nil {
@@ -118,7 +115,7 @@
 	}
 }
 
-// noteMemory records the memory taken. The caller holds the lock.
+// noteMemory counts an overcommitment. The caller holds the lock.
 func (e *Engine) noteMemory() {
 	var bytes int64
 	for _, item := range e.resident {
@@ -127,7 +124,6 @@
 	for _, item := range e.loading {
 		bytes += item.GetBytes()
 	}
-	e.record.PeakBytes = max(e.record.PeakBytes, bytes)
 	if bytes > e.Memory {
 		e.record.Overcommitted++
 	}
@@ -148,10 +144,6 @@
 	}
 }
 
-func (e *Engine) serveRecord(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(e.Record())
-}
-
 func sortedItems(items map[string]*enginev1.Item) []*enginev1.Item {
 	sorted := make([]*enginev1.Item, 0, len(items))
 	for _, item := range items {
--- a/internal/standin/etcd.go
+++ b/internal/standin/etcd.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"encoding/json"
+	"net/http"
 
 	"github.com/juju/errors"
 
@@ -73,3 +75,44 @@
 		Version:     record.Version,
 	}
 }
+
+// watch streams the changes of a prefix until the caller or SetMode ends it.
+func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
+	var q kv.WatchRequest
+	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	p.mu.Lock()
+	ended := p.ended
+	p.mu.Unlock()
+	events, err := p.Memory.Store().Watch(r.Context(), kv.Watching{Prefix: string(q.Create.Key), From: q.Create.StartRevision})
+	if err != nil {
+		http.Error(w, errors.Details(err), http.StatusInternalServerError)
+		return
+	}
+	writeJSON(w, kv.WatchResponse{Result: kv.WatchResult{Created: true}})
+	flush(w)
+	for {
+		select {
+		case batch, ok := <-events:
+			if !ok {
+				return
+			}
+			for _, event := range batch {
+				writeJSON(w, watchMessage(event))
+			}
+			flush(w)
+		case <-ended:
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+func watchMessage(event kv.Event) kv.WatchResponse {
+	message := kv.WatchEvent{KV: keyValue(event.Record)}
+	if event.Deleted {
+		message.Type = "DELETE"
+	}
+	return kv.WatchResponse{Result: kv.WatchResult{Events: []kv.WatchEvent{message}}}
+}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,21 +1,16 @@
-// Package standin has small stand-ins of the systems around ospreymoor: the platform, a
-// model engine and a plain service. They serve `ospreymoor dev` and the tests.
 package standin
 
 import (
 	"encoding/json"
-	"maps"
 	"net/http"
 	"sync"
 	"time"
 
-	"github.com/juju/errors"
-
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// Fault is what befalls one call of the platform.
+// Fault is the fault injected into one call of the platform.
 type Fault int
 
 // The faults of a call.
@@ -24,7 +19,7 @@
 	FaultNone Fault = iota
 	// FaultDown: the call is neither done nor answered.
 	FaultDown
-	// FaultLostAnswer: the call is done, and its answer lost.
+	// FaultLostAnswer: the call is done and its answer is lost.
 	FaultLostAnswer
 )
 
@@ -34,14 +29,15 @@
 	Memory *kv.Memory
 	// Weights is the weight store.
 	Weights *Weights
-	// Fault chooses what befalls a call; nil means nothing.
+	// Fault chooses the fault of a call by its path; nil injects none.
 	Fault func(path string) Fault
 
-	mu    sync.Mutex
-	list  membership.List
-	mode  Fault
+	mu   sync.Mutex
+	list membership.List
+	// mode is the fault of every call; with FaultNone, Fault chooses.
+	mode Fault
+	// ended is closed, and replaced, to end all watches.
 	ended chan struct{}
-	calls map[string]int
 }
 
 // NewPlatform returns an empty platform.
@@ -50,11 +46,10 @@
 		Memory:  kv.NewMemory(),
 		Weights: NewWeights(),
 		ended:   make(chan struct{}),
-		calls:   map[string]int{},
 	}
 }
 
-// SetMode has every call meet a fault until the next SetMode; watches end at once.
+// SetMode injects a fault into every call until the next SetMode; watches end at once.
 func (p *Platform) SetMode(mode Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +61,7 @@
 	p.ended = make(chan struct{})
 }
 
-// SetBox puts a box into the list, or changes it.
+// SetBox adds a box to the box list, or changes it.
 func (p *Platform) SetBox(box membership.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,20 +69,13 @@
 	p.list = membership.List{Generation: p.list.Generation + 1, Boxes: append(boxes, box)}
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the box list.
 func (p *Platform) RemoveBox(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list = membership.List{Generation: p.list.Generation + 1, Boxes: p.without(id)}
 }
 
-// Calls returns how often each path was called.
-func (p *Platform) Calls() map[string]int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return maps.Clone(p.calls)
-}
-
 func (p *Platform) without(id string) []membership.Box {
 	var boxes []membership.Box
 	for _, box := range p.list.Boxes {
@@ -127,15 +115,14 @@
 	return mux
 }
 
-// faulty wraps a handler in the faults of the moment.
+// faulty injects the current fault into the calls of a handler.
 func (p *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch p.fault(r.URL.Path) {
 		case FaultDown:
 			panic(http.ErrAbortHandler)
 		case FaultLostAnswer:
-			next(&deafWriter{header: http.Header{}}, r)
-			panic(http.ErrAbortHandler)
+			LoseAnswer(next, r)
 		default:
 			next(w, r)
 		}
@@ -144,7 +131,6 @@
 
 func (p *Platform) fault(path string) Fault {
 	p.mu.Lock()
-	p.calls[path]++
 	mode := p.mode
 	p.mu.Unlock()
 	if mode == FaultNone && p.Fault != nil {
@@ -153,48 +139,11 @@
 	return mode
 }
 
-func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
-	var q kv.WatchRequest
-	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	p.mu.Lock()
-	ended := p.ended
-	p.mu.Unlock()
-	events, _ := p.Memory.Store().Watch(r.Context(), kv.Watching{Prefix: string(q.Create.Key), From: q.Create.StartRevision})
-	encoder := json.NewEncoder(w)
-	_ = encoder.Encode(kv.WatchResponse{Result: kv.WatchResult{Created: true}})
-	_ = http.NewResponseController(w).Flush()
-	for {
-		select {
-		case batch, ok := <-events:
-			if !ok {
-				return
-			}
-			for _, event := range batch {
-				_ = encoder.Encode(watchMessage(event))
-			}
-			_ = http.NewResponseController(w).Flush()
-		case <-ended:
-			panic(http.ErrAbortHandler)
-		}
-	}
-}
-
-func watchMessage(event kv.Event) kv.WatchResponse {
-	message := kv.WatchEvent{KV: keyValue(event.Record)}
-	if event.Deleted {
-		message.Type = "DELETE"
-	}
-	return kv.WatchResponse{Result: kv.WatchResult{Events: []kv.WatchEvent{message}}}
-}
-
 func (p *Platform) boxes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	list := p.list
 	p.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(list)
+	writeJSON(w, list)
 }
 
 func (p *Platform) putBox(w http.ResponseWriter, r *http.Request) {
@@ -221,32 +170,3 @@
 	}
 	p.SetMode(mode)
 }
-
-// answer decodes a call's JSON, does it and encodes its result.
-func answer[Q any](do func(*http.Request, Q) (any, error)) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		var q Q
-		if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		result, err := do(r, q)
-		if err != nil {
-			http.Error(w, errors.Details(err), http.StatusInternalServerError)
-			return
-		}
-		_ = json.NewEncoder(w).Encode(result)
-	}
-}
-
-// deafWriter takes an answer that nobody will get.
-type deafWriter struct{ header http.Header }
-
-// Header returns headers that go nowhere.
-func (d *deafWriter) Header() http.Header { return d.header }
-
-// Write drops the bytes.
-func (d *deafWriter) Write(p []byte) (int, error) { return len(p), nil }
-
-// WriteHeader drops the status.
-func (d *deafWriter) WriteHeader(int) {}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
@@ -10,7 +9,7 @@
 	"time"
 )
 
-// Service is a stand-in of a plain HTTP service that counts what it did.
+// Service is a stand-in of a plain HTTP service. It counts the bodies that were posted.
 type Service struct {
 	// Delay before each answer.
 	Delay time.Duration
@@ -33,12 +32,13 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /standin/record", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(s.Runs())
+		writeJSON(w, s.Runs())
 	})
 	mux.HandleFunc("/", s.serve)
 	return mux
 }
 
+// serve answers one request. A failed write of the answer is ignored: the caller has gone.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	time.Sleep(s.Delay)
 	if r.Method == http.MethodGet {
@@ -47,7 +47,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return
+		return // The body did not arrive whole, so nothing was done and nobody is there to answer.
 	}
 	s.mu.Lock()
 	s.runs[string(body)]++
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// waiter is a run that waits for a slot.
+// waiter is a run that waits for a slot. number is its place in the order of arrival, and ready
+// is closed when it gets the slot.
 type waiter struct {
 	priority int32
 	number   int64
@@ -44,7 +45,7 @@
 	return last
 }
 
-// takeSlot waits for a slot; it tells whether one was had before ctx ended.
+// takeSlot waits for a slot and reports whether the run got one before ctx ended.
 func (e *Engine) takeSlot(ctx context.Context, priority int32) bool {
 	e.mu.Lock()
 	if e.running < max(1, e.Slots) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// leaveQueue takes a run off the queue, unless it was just given a slot.
+// leaveQueue removes a run from the queue. It reports true if the run was just given a slot.
 func (e *Engine) leaveQueue(w *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,7 +77,7 @@
 	return false
 }
 
-// freeSlot gives the slot to the next run that waits.
+// freeSlot passes the slot to the next waiting run, or frees it.
 func (e *Engine) freeSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// weightStarts is how many loads the weight store begins a second.
+	// weightStarts is how many loads the weight store begins a second: size of the users' weight store.
 	weightStarts = 2
-	// weightStreams is how many loads it serves at once at full speed.
+	// weightStreams is how many loads it serves at once at full speed: size of the users' weight store.
 	weightStreams = 8
-	// weightBurst lets a quiet store begin a few loads at once.
+	// weightBurst is how many loads an idle store begins at once: chosen, not measured.
 	weightBurst = 4
 )
 
-// Weights is the weight store: rate-limited, with a few loads at once.
+// Weights is the weight store: its rate of loads and the loads at once are limited.
 type Weights struct {
 	// BytesPerSecond is the speed of one load; 0 is no time at all.
 	BytesPerSecond int64
@@ -27,7 +27,7 @@
 	streams chan struct{}
 }
 
-// NewWeights returns a weight store of the users' size.
+// NewWeights returns a weight store.
 func NewWeights() *Weights {
 	return &Weights{
 		starts:  rate.NewLimiter(weightStarts, weightBurst),
@@ -35,7 +35,7 @@
 	}
 }
 
-// Fetch takes as long as the store needs for a load of so many bytes.
+// Fetch waits for as long as a load of so many bytes takes. An error is that of ctx.
 func (s *Weights) Fetch(ctx context.Context, bytes int64) error {
 	if err := s.starts.Wait(ctx); err != nil {
 		return err
