--- /dev/null
+++ b/internal/transport/send.go
@@ -0,0 +1,66 @@
+package transport
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+
+	"github.com/juju/errors"
+)
+
+// ErrNotSent is the kind of error of a request of which not a byte was written.
+const ErrNotSent = errors.ConstError("not sent")
+
+// Sender sends a request over a transport of New: http.Client.Do, or http.Transport.RoundTrip,
+// which follows no redirect.
+type Sender func(*http.Request) (*http.Response, error)
+
+// Send sends a request. An error is of the kind ErrNotSent if the request was not sent; any other
+// leaves open whether it arrived.
+func (send Sender) Send(request *http.Request) (*http.Response, error) {
+	tracker := &writeTracker{}
+	response, err := send(request.WithContext(tracker.track(request.Context())))
+	if err != nil {
+		return nil, tracker.classify(err)
+	}
+	return response, nil
+}
+
+// Call sends a request and reads the whole answer. An answer longer than maxBytes is cut there, so
+// that it fails to decode. Errors are those of Send, or of a broken answer.
+func (send Sender) Call(request *http.Request, maxBytes int64) (status int, body []byte, err error) {
+	response, err := send.Send(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer func() { _ = response.Body.Close() }() // All that is used was read: no error matters.
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxBytes))
+	return response.StatusCode, body, errors.Trace(err)
+}
+
+// writeTracker finds out whether any byte of one request was written.
+type writeTracker struct {
+	conn *countingConn
+	// before is conn.written when the request got the connection.
+	before int64
+}
+
+// track returns a context for the request that is tracked.
+func (t *writeTracker) track(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) {
+			if conn, ok := info.Conn.(*countingConn); ok {
+				t.conn, t.before = conn, conn.written.Load()
+			}
+		},
+	})
+}
+
+// classify gives the error of a request that was not sent the kind ErrNotSent.
+func (t *writeTracker) classify(err error) error {
+	if t.conn == nil || t.conn.written.Load() == t.before {
+		return errors.WithType(err, ErrNotSent)
+	}
+	return errors.Trace(err)
+}
