--- a/internal/cmd/dev_platform.go
+++ b/internal/cmd/dev_platform.go
@@ -16,16 +16,17 @@
 	"ospreymoor.example/ospreymoor/platform/standin"
 )
 
-// Sizes of the platform that dev shows.
+// Sizes of the fleet that dev starts on the platform's stand-ins.
 const (
-	devEngines  = 3
-	devModels   = 4
-	devMachines = 2
-	devEvents   = 8
+	devEngines       = 3
+	devModels        = 4
+	devPlatformBoxes = 2
+	// devEvents is how many events answer a stream.
+	devEvents = 8
 )
 
-// runOnPlatform shows the path on the users' platform: stand-ins of its store, engines and a
-// plain service, and two machines of the system before them.
+// runOnPlatform runs stand-ins of the users' platform (its store, engines and a plain service) with
+// boxes before them, and sends requests or shows how to.
 func (c *devCommand) runOnPlatform(ctx context.Context, log *zap.Logger, out output) error {
 	fleet, err := standin.StartFleet(standin.FleetOptions{
 		Engines: devEngines, Models: devModels, Events: devEvents, Gap: devTokenTime,
@@ -38,44 +39,50 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
+	defer func() { _ = os.RemoveAll(folder) }() // What stays of it lies in the system's temporary folder.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var machines sync.WaitGroup
-	defer machines.Wait()
+	var boxes sync.WaitGroup
+	defer boxes.Wait()
 	defer stop()
 	var front string
-	for n := range devMachines {
-		machine, err := standin.FreeMachine(fmt.Sprintf("front-%d", n))
+	for n := range devPlatformBoxes {
+		box, err := standin.FreeBox(fmt.Sprintf("front-%d", n))
 		if err != nil {
 			return err
 		}
-		path, err := fleet.Settings(folder, machine, nil)
+		path, err := fleet.Settings(folder, box, nil)
 		if err != nil {
 			return err
 		}
-		machines.Go(func() {
+		boxes.Go(func() {
 			if err := platform.Run(running, platform.Options{SettingsFile: path, LeaseTTL: devLeaseTTL, Log: log}); err != nil {
 				_, _ = fmt.Fprintln(out.errors, err)
 			}
 		})
-		if err := awaitReady(ctx, machine.Readiness); err != nil {
+		if err := awaitReady(ctx, box.Readiness); err != nil {
 			return err
 		}
-		front = machine.Front
+		front = box.Front
 	}
-	_, _ = fmt.Fprintf(out, "%d machines before %d engines and a plain service\n\n", devMachines, devEngines)
+	_, _ = fmt.Fprintf(out, "%d machines before %d engines and a plain service\n\n", devPlatformBoxes, devEngines)
 	return c.tryPlatform(ctx, front, out)
 }
 
+// Times of dev: chosen, not measured.
 const (
-	// devLeaseTTL is how long the order lease lasts in dev.
-	devLeaseTTL = 3 * time.Second
-	// devReadyTime bounds the start of a machine.
-	devReadyTime = 10 * time.Second
-	// devTryTime bounds the tries of one request: a model that nobody holds is loaded first.
-	devTryTime = 15 * time.Second
+	// devLeaseTTL is how long the order lease lasts without a renewal: the least that node takes.
+	devLeaseTTL = minOrderLeaseTTL
+	// devReadyTime bounds the start of a box, devReadyPause is the time between two looks.
+	devReadyTime  = 10 * time.Second
+	devReadyPause = 50 * time.Millisecond
+	// devTryTime bounds the tries of one request: a model that no engine holds is loaded first.
+	// devTryPause is the time between two tries.
+	devTryTime  = 15 * time.Second
+	devTryPause = 200 * time.Millisecond
 )
 
+// awaitReady waits until a box is ready. Before, its page can't be reached or answers 503: neither
+// is reported.
 func awaitReady(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, devReadyTime)
 	defer cancel()
@@ -87,12 +94,12 @@
 				return nil
 			}
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(devReadyPause)
 	}
 	return errors.Annotatef(ctx.Err(), "waiting for %s", address)
 }
 
-// platformExample is one request that dev shows.
+// platformExample is one request that dev shows; model may be empty.
 type platformExample struct {
 	about, path, model string
 }
@@ -104,6 +111,7 @@
 	{"a model that is loaded first", standin.StreamPath + "3", standin.ModelName(devModels - 1)},
 }
 
+// tryPlatform prints the examples. With --once it sends them too; without, it waits for ctx.
 func (c *devCommand) tryPlatform(ctx context.Context, front string, out output) error {
 	for n, example := range platformExamples {
 		curl := standin.Curl(front, fmt.Sprint("try-", n), example.path, example.model)
@@ -123,7 +131,7 @@
 	return nil
 }
 
-// send sends the example until it is served: a refusal says when to come back.
+// send sends the example until it is served. A refusal is tried again: a model may be loading.
 func (e platformExample) send(ctx context.Context, front string, n int) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, devTryTime)
 	defer cancel()
@@ -137,7 +145,7 @@
 			return reply.Body, nil
 		}
 		last = errors.Errorf("status %d: %s", reply.Status, strings.TrimSpace(reply.Body))
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(devTryPause)
 	}
 	return "", last
 }
--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -14,8 +14,8 @@
 
 // ospreymoor node --settings FILE [flags]
 //
-// Runs one machine on the users' platform until SIGTERM, then drains it. SIGHUP has the
-// settings read again.
+// Runs one box on the users' platform until SIGTERM, then drains it. SIGHUP makes it read and
+// check the settings file again.
 type nodeCommand struct {
 	Settings    string        `name:"settings" env:"OSPREYMOOR_NODE_FILE" default:"/etc/ospreymoor/local.yaml" help:"The platform's settings file."`
 	MetricsPort int           `name:"metrics-port" env:"OSPREYMOOR_METRICS_PORT" default:"0" help:"Port for metrics on the machine's address; 0 serves none."`
@@ -24,15 +24,23 @@
 	LogLevel    string        `name:"node-log-level" env:"OSPREYMOOR_NODE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level of log lines."`
 }
 
-// Run runs the machine.
+const (
+	// minOrderLeaseTTL is the shortest order lease: a lease is renewed three times in that time.
+	// Chosen, not measured (commit bc3a7c4).
+	minOrderLeaseTTL = 3 * time.Second
+	// maxPort is the highest port number of TCP.
+	maxPort = 65535
+)
+
+// Run runs the box.
 func (c *nodeCommand) Run(ctx context.Context, _ output) error {
-	if c.LeaseTTL < 3*time.Second {
+	if c.LeaseTTL < minOrderLeaseTTL {
 		return wrong("order-lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
 	}
 	if c.MoveCost < 0 {
 		return wrong("load-cost", c.MoveCost, "give 0 or more")
 	}
-	if c.MetricsPort < 0 || c.MetricsPort > 65535 {
+	if c.MetricsPort < 0 || c.MetricsPort > maxPort {
 		return wrong("metrics-port", c.MetricsPort, "give a port, or 0")
 	}
 	level, err := zapcore.ParseLevel(c.LogLevel)
