--- a/internal/cmd/dev_platform.go
+++ b/internal/cmd/dev_platform.go
@@ -81,7 +81,7 @@
 	devTryPause = 200 * time.Millisecond
 )
 
-// awaitReady waits until a box is ready. Before, its page can't be reached or answers 503: neither
+// awaitReady waits until a box is ready. Before, its page cannot be reached or answers 503: neither
 // is reported.
 func awaitReady(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, devReadyTime)
--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -16,6 +16,10 @@
 //
 // Runs one box on the users' platform until SIGTERM, then drains it. SIGHUP makes it read and
 // check the settings file again.
+//
+// The defaults' origins: 3 s of lease bear a holder's loss better than 5 s and freezes worse
+// (docs/design/platform.md, "The order lease"); a load cost of 0.03 is the square of a sixth of an
+// engine's time (docs/operating/settings.md), chosen, not measured.
 type nodeCommand struct {
 	Settings    string        `name:"settings" env:"OSPREYMOOR_NODE_FILE" default:"/etc/ospreymoor/local.yaml" help:"The platform's settings file."`
 	MetricsPort int           `name:"metrics-port" env:"OSPREYMOOR_METRICS_PORT" default:"0" help:"Port for metrics on the machine's address; 0 serves none."`
--- a/internal/engine/runs.go
+++ b/internal/engine/runs.go
@@ -104,7 +104,7 @@
 }
 
 // resumeError never takes a failed resumption for a request that was not started: an engine that
-// can't be reached now, or refuses now, may well have started it before.
+// cannot be reached now, or refuses now, may well have started it before.
 func resumeError(err error) error {
 	if errors.Is(err, ErrNotStarted) || errors.Is(err, ErrLeaving) {
 		return errors.Annotatef(ErrBrokenOff, "resuming: %v", err)
--- /dev/null
+++ b/internal/transport/transport_test.go
@@ -0,0 +1,69 @@
+package transport_test
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/internal/transport"
+)
+
+func TestTransport(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Transport")
+}
+
+func post(address string) *http.Request {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/", strings.NewReader("text"))
+	Expect(err).NotTo(HaveOccurred())
+	request.GetBody = nil
+	return request
+}
+
+var _ = Describe("a request", func() {
+	It("is known not to have been sent if nobody takes the connection", func() {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		Expect(err).NotTo(HaveOccurred())
+		Expect(listener.Close()).To(Succeed())
+		_, err = transport.Sender(transport.New().RoundTrip).Send(post(listener.Addr().String()))
+		Expect(err).To(MatchError(transport.ErrNotSent))
+	})
+
+	It("may have been sent if the connection breaks without an answer", func() {
+		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+		defer server.Close()
+		_, err := transport.Sender(transport.New().RoundTrip).Send(post(server.Listener.Addr().String()))
+		Expect(err).To(HaveOccurred())
+		Expect(err).NotTo(MatchError(transport.ErrNotSent))
+	})
+
+	It("is known not to have been sent if its context ends before", func() {
+		server := httptest.NewServer(http.NotFoundHandler())
+		defer server.Close()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_, err := transport.Sender(transport.New().RoundTrip).Send(post(server.Listener.Addr().String()).WithContext(ctx))
+		Expect(err).To(MatchError(transport.ErrNotSent))
+	})
+})
+
+var _ = Describe("a call", func() {
+	It("reads the whole answer, and of a longer one than allowed only the beginning", func() {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
+		defer server.Close()
+		send := transport.Sender(transport.New().RoundTrip)
+		status, body, err := send.Call(post(server.Listener.Addr().String()), 6)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(status).To(Equal(http.StatusOK))
+		Expect(string(body)).To(Equal("answer"))
+		_, body, err = send.Call(post(server.Listener.Addr().String()), 3)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(string(body)).To(Equal("ans"))
+	})
+})
