--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -31,6 +31,9 @@
 	// followerDelay is by how much longer boxes of a large fleet wait that follow a relay: relays
 	// know already what is asked for, and have the most processor time. Chosen, not measured.
 	followerDelay = 400 * time.Millisecond
+	// orderGapMargin is added to the bound on how far apart orders of two boxes to one engine must
+	// be. Chosen, not measured (commit bc3a7c4).
+	orderGapMargin = 500 * time.Millisecond
 )
 
 // Config is what an order lease works with.
@@ -42,7 +45,8 @@
 	OwnPrefix string
 	// TTL is how long the order lease lasts without a renewal.
 	TTL time.Duration
-	// OrderGap is how long orders of two boxes to one engine must be apart.
+	// OrderGap is the bound of the platform on how far apart orders of two boxes to one engine must
+	// be. New adds orderGapMargin.
 	OrderGap time.Duration
 	Peers    Peers
 	Client   *peer.Client
@@ -79,6 +83,7 @@
 // New returns an order lease that is not held yet; Run contends for it.
 func New(config Config) *Lease {
 	margin := config.TTL / marginsPerTTL
+	config.OrderGap += orderGapMargin
 	l := &Lease{
 		Config:   config,
 		key:      config.OwnPrefix + leaseKey,
