--- a/pkg/claims/sweep.go
+++ b/pkg/claims/sweep.go
@@ -9,21 +9,22 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// floorKey is the place of the oldest bucket that may still be made.
+// floorKey is the key of the floor in the key-value service.
 const floorKey = "claims-floor"
 
-// windowsKept is how many windows a claim stays, so that clocks that differ do no harm.
+// windowsKept is the number of windows for which a claim is kept, so that boxes whose clocks
+// differ by up to one window do no harm: 2, chosen, not measured.
 const windowsKept = 2
 
-// floor says which buckets are forgotten.
+// floor records which buckets are forgotten, by their numbers.
 type floor struct {
 	// Bucket is the oldest that may be made; older ones may be gone.
 	Bucket int64 `json:"bucket"`
-	// Swept is the oldest that may still stand in the store.
+	// Swept is the oldest that may still be in the store.
 	Swept int64 `json:"swept"`
 }
 
-// checkFloor refuses to make a bucket anew that was forgotten.
+// checkFloor returns ErrTooOld for a bucket that was forgotten and so may not be made anew.
 func (c *Claims) checkFloor(ctx context.Context, bucket int64) error {
 	f, err := kv.ReadDocument[floor](ctx, c.config.Store, floorKey)
 	if err != nil {
@@ -35,9 +36,10 @@
 	return nil
 }
 
-// Sweep forgets claims of long ago. It first raises the floor, and deletes only what was below
-// the floor of the sweep before: a claim under way may have read the floor of then.
-// Sweeps should be a minute or more apart.
+// Sweep deletes claims older than windowsKept windows. It deletes only what is below the floor of
+// the sweep before and then raises the floor, because a claim under way may have read that floor.
+// Sweeps must be a minute or more apart, far above callTimeout. After an error the next sweep
+// goes on from the same bucket.
 func (c *Claims) Sweep(ctx context.Context) error {
 	keep := bucketOf(time.Now().Add(-windowsKept * c.config.Window))
 	old, err := kv.ReadDocument[floor](ctx, c.config.Store, floorKey)
@@ -49,7 +51,7 @@
 		swept = keep
 	}
 	for ; swept < old.Body.Bucket; swept++ {
-		if err := c.forget(ctx, swept); err != nil {
+		if err := c.deleteBucket(ctx, swept); err != nil {
 			return err
 		}
 	}
@@ -59,9 +61,9 @@
 	return err
 }
 
-// forget deletes the documents of one bucket.
-func (c *Claims) forget(ctx context.Context, bucket int64) error {
-	for i := range shards {
+// deleteBucket deletes the documents of one bucket.
+func (c *Claims) deleteBucket(ctx context.Context, bucket int64) error {
+	for i := range shardsPerBucket {
 		record, err := c.config.Store.Get(ctx, shardKey(bucket, i))
 		if errors.Is(err, kv.ErrNotFound) {
 			continue
