--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,7 +1,12 @@
-// Package membership knows which boxes and upstreams there are.
+// Package membership is a box's view of the boxes and upstreams that there are.
 //
-// Two sources are joined: the platform's box list, which lags, and what was heard directly.
-// Whatever either of them says is leaving gets nothing new.
+// Two sources are joined: the platform's box list, which lags, and heartbeats and answers received
+// directly. Whatever leaves by either source gets nothing new. The package owns the view and the
+// ranking of boxes; it relies on its caller to feed it, and on nothing else.
+//
+// It belongs to the native way, `ospreymoor serve`, where every box sends heartbeats to its whole
+// hall. The peers of `ospreymoor node` (internal/gateway) exchange load summaries with a few partners
+// instead, and a box counts as a member while the store lists it or its exchanges go on.
 package membership
 
 import (
@@ -10,7 +15,7 @@
 	"time"
 )
 
-// Kind says what runs on a box.
+// Kind is what runs on a box.
 type Kind string
 
 // The kinds of box.
@@ -29,12 +34,13 @@
 	Pool string `json:"pool,omitempty"`
 	// Address is host:port; for an entry box, that of its peer listener.
 	Address string `json:"address"`
-	Leaving bool   `json:"leaving,omitempty"`
-	// Fenced upstreams check who gives them an order.
+	// Leaving boxes take nothing new.
+	Leaving bool `json:"leaving,omitempty"`
+	// Fenced engines check the term of an order.
 	Fenced bool `json:"fenced,omitempty"`
 	// Memory of an engine for models, in bytes.
 	Memory int64 `json:"memory,omitempty"`
-	// Slots is how many requests an engine runs at once at full speed.
+	// Slots is the number of requests that an engine runs at once at full speed.
 	Slots int `json:"slots,omitempty"`
 }
 
@@ -45,44 +51,47 @@
 	Boxes      []Box `json:"boxes"`
 }
 
-// Peer is another entry box as it was last heard.
+// Peer is another entry box as its last heartbeat describes it.
 type Peer struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"incarnation"`
 	Hall        string `json:"hall"`
 	Address     string `json:"address"`
 	Leaving     bool   `json:"leaving,omitempty"`
-	// Store tells that the peer reaches the key-value service.
+	// Store is true if the peer reaches the key-value service.
 	Store bool `json:"store,omitempty"`
 }
 
-// View joins the box list and what was heard. It is safe for concurrent use.
+// View joins the box list, heartbeats and answers of upstreams. It is safe for concurrent use.
 type View struct {
-	// Self is this box's id.
-	Self string
+	// self is this box's id.
+	self string
 
 	mu sync.Mutex
-	// silence is after how long an unheard peer counts as gone.
-	silence time.Duration
-	list    List
-	peers   map[string]heard
-	// refused holds upstreams that said themselves that they leave, by box and incarnation.
-	refused map[string]bool
+	// lapse is the time without a heartbeat after which a peer counts as gone.
+	lapse time.Duration
+	list  List
+	// peers by id.
+	peers map[string]lastHeartbeat
+	// leaving holds the ids of upstreams that announced themselves that they leave.
+	leaving map[string]bool
 }
 
-type heard struct {
+// lastHeartbeat is a peer with the time of its last heartbeat.
+type lastHeartbeat struct {
 	peer Peer
 	at   time.Time
 }
 
-const defaultSilence = 5 * time.Second
+// defaultLapse holds until SetSilence is called: 5 s, chosen, not measured.
+const defaultLapse = 5 * time.Second
 
-// NewView returns a view that knows nothing yet.
+// NewView returns the empty view of a box with an id.
 func NewView(self string) *View {
-	return &View{Self: self, silence: defaultSilence, peers: map[string]heard{}, refused: map[string]bool{}}
+	return &View{self: self, lapse: defaultLapse, peers: map[string]lastHeartbeat{}, leaving: map[string]bool{}}
 }
 
-// SetList takes a newer box list in.
+// SetList takes a box list in unless it is older than the one held.
 func (v *View) SetList(list List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,71 +103,71 @@
 	for _, box := range list.Boxes {
 		known[box.ID] = true
 	}
-	// A box that left the list and comes back is a new one.
-	for id := range v.refused {
+	// A box that has gone from the list and comes back is a new one.
+	for id := range v.leaving {
 		if !known[id] {
-			delete(v.refused, id)
+			delete(v.leaving, id)
 		}
 	}
 }
 
-// SetSilence sets after how long an unheard peer counts as gone: several times the interval of
-// heartbeats, which large fleets make longer.
-func (v *View) SetSilence(silence time.Duration) {
+// SetSilence sets the time without a heartbeat after which a peer counts as gone: several times
+// the interval of heartbeats, which is longer in large fleets.
+func (v *View) SetSilence(lapse time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.silence = silence
+	v.lapse = lapse
 }
 
-// Hear takes in what a peer said of itself.
+// Hear takes a peer's heartbeat in.
 func (v *View) Hear(peer Peer) {
-	if peer.ID == v.Self {
+	if peer.ID == v.self {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.peers[peer.ID] = heard{peer: peer, at: time.Now()}
+	v.peers[peer.ID] = lastHeartbeat{peer: peer, at: time.Now()}
 }
 
-// MarkLeaving notes that an upstream said itself that it takes nothing new.
-// It tells whether that is news.
+// MarkLeaving records that an upstream announced itself that it takes nothing new.
+// It reports whether that was not known.
 func (v *View) MarkLeaving(upstream string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.refused[upstream] {
+	if v.leaving[upstream] {
 		return false
 	}
-	v.refused[upstream] = true
+	v.leaving[upstream] = true
 	return true
 }
 
-// MarkStaying notes that an upstream has started anew and takes requests again.
+// MarkStaying records that an upstream has started anew and takes requests again.
 func (v *View) MarkStaying(upstream string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.refused, upstream)
+	delete(v.leaving, upstream)
 }
 
-// MarkedLeaving lists the upstreams that said themselves that they leave.
+// MarkedLeaving lists the upstreams that announced themselves that they leave, by id.
 func (v *View) MarkedLeaving() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	ids := make([]string, 0, len(v.refused))
-	for id := range v.refused {
+	ids := make([]string, 0, len(v.leaving))
+	for id := range v.leaving {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	return ids
 }
 
-// Upstreams lists the boxes of a kind, with Leaving set if any source says so.
+// Upstreams lists the boxes of a kind, with Leaving set if either source has it.
 func (v *View) Upstreams(kind Kind) []Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var boxes []Box
 	for _, box := range v.list.Boxes {
 		if box.Kind == kind {
-			box.Leaving = box.Leaving || v.refused[box.ID]
+			box.Leaving = box.Leaving || v.leaving[box.ID]
 			boxes = append(boxes, box)
 		}
 	}
@@ -171,14 +180,14 @@
 	defer v.mu.Unlock()
 	var boxes []Box
 	for _, box := range v.list.Boxes {
-		if box.Kind == KindEntry && box.ID != v.Self && !box.Leaving {
+		if box.Kind == KindEntry && box.ID != v.self && !box.Leaving {
 			boxes = append(boxes, box)
 		}
 	}
 	return boxes
 }
 
-// Live lists the peers that were heard lately and are not leaving, by id.
+// Live lists the peers whose heartbeats have not lapsed and that are not leaving, by id.
 func (v *View) Live() []Peer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -205,26 +214,28 @@
 	return n
 }
 
-// live tells whether a peer was heard lately and is not leaving. The caller holds the lock.
-func (v *View) live(h heard) bool {
-	return !h.peer.Leaving && time.Since(h.at) < v.silence
+// live reports whether a peer's heartbeats have not lapsed and it is not leaving. The caller
+// holds the lock.
+func (v *View) live(h lastHeartbeat) bool {
+	return !h.peer.Leaving && time.Since(h.at) < v.lapse
 }
 
-// FleetSize is the number of entry boxes that share the fleet's limits, this one included.
+// FleetSize is the number of entry boxes that share the fleet's limits, this one included: by the
+// source that has more, so that a box takes too small a share of a limit rather than too large a one.
 func (v *View) FleetSize() int {
 	return max(len(v.Entries()), v.LiveCount()) + 1
 }
 
-// Size is the number of boxes in the list.
+// Size is the number of boxes of all kinds in the list; 0 means that no list has come yet.
 func (v *View) Size() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.list.Boxes)
 }
 
-// IsLeaving tells whether an upstream said itself that it leaves.
+// IsLeaving reports whether an upstream announced itself that it leaves.
 func (v *View) IsLeaving(upstream string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.refused[upstream]
+	return v.leaving[upstream]
 }
--- a/pkg/membership/ranking.go
+++ b/pkg/membership/ranking.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders ids by a hash with a purpose, so that all boxes agree on who goes first
-// for it without talking, and a lost box changes nobody else's rank (rendezvous hashing).
+// Rank orders ids by a hash of purpose and id (rendezvous hashing). All boxes that know the same
+// ids get the same order without a message, and a lost box changes nobody else's place in it.
 func Rank(purpose string, ids []string) []string {
 	type scored struct {
 		id    string
@@ -30,7 +30,7 @@
 	return ranked
 }
 
-// Among tells whether id is one of the first n of a ranking.
+// Among reports whether id is one of the first n of the ranking for a purpose.
 func Among(purpose string, ids []string, id string, n int) bool {
 	for i, ranked := range Rank(purpose, ids) {
 		if i >= n {
--- a/pkg/records/records.go
+++ b/pkg/records/records.go
@@ -1,7 +1,11 @@
 // Package records keeps the latest generation of each record that boxes share.
 //
 // A record comes from the platform or from a peer; the highest generation wins, wherever it
-// came from, so that what a box holds never goes back. Everything here is soft state.
+// came from, so that what a box holds never goes back. Everything here is soft state: it is lost
+// with the process. The package owns the comparison of generations; it relies on nothing.
+//
+// It belongs to the native way, `ospreymoor serve`, where boxes fetch records from each other as
+// well as from the store. On `ospreymoor node`, pkg/mirror copies the store's keys, watches and all.
 package records
 
 import (
@@ -10,13 +14,14 @@
 )
 
 // Generation orders the values of one record: by Term, then by Sequence.
-// For a record of the platform, Term is its revision and Sequence is 0.
+// For a record of the store, Term is its revision and Sequence is 0. For one that a hall's
+// controller publishes, Term is that of its lease and Sequence counts within it.
 type Generation struct {
 	Term     int64 `json:"t"`
 	Sequence int64 `json:"s,omitempty"`
 }
 
-// Less tells whether g comes before other.
+// Less reports whether g comes before other.
 func (g Generation) Less(other Generation) bool {
 	if g.Term != other.Term {
 		return g.Term < other.Term
@@ -31,7 +36,7 @@
 	Value      json.RawMessage `json:"value"`
 }
 
-// Cache holds the highest generation seen of each record. It is safe for concurrent use.
+// Cache holds each record in its highest generation. It is safe for concurrent use.
 type Cache struct {
 	mu      sync.Mutex
 	records map[string]Record
@@ -44,14 +49,14 @@
 }
 
 // Subscribe has f called with each record that is taken in. Call it before the first Put.
-// f runs under no lock; two calls for one name may come out of order, so f reads Get.
+// f runs under no lock, and two calls for one name may come out of order: f must use Get.
 func (c *Cache) Subscribe(f func(Record)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.subs = append(c.subs, f)
 }
 
-// Put takes a record in if it is newer than the one held, and tells whether it was.
+// Put takes a record in if its generation is above the one held, and reports whether it was.
 func (c *Cache) Put(record Record) bool {
 	c.mu.Lock()
 	old, ok := c.records[record.Name]
@@ -68,7 +73,7 @@
 	return true
 }
 
-// Get returns the record of a name, or false.
+// Get returns the record of a name, false if there is none.
 func (c *Cache) Get(name string) (Record, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +81,7 @@
 	return record, ok
 }
 
-// Generations returns what is held of the names that keep accepts.
+// Generations returns the generations held of the names that keep accepts.
 func (c *Cache) Generations(keep func(name string) bool) map[string]Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
