--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -2,7 +2,11 @@
 //
 // A bundle declares one customer's models, adapters, plain services, callers and limits.
 // Signing it off stores it for good; rolling puts it in force in place of a lower version;
-// retiring takes it out of service. All three go through the key-value service.
+// retiring takes it out of service. All three go through the key-value service (pkg/kv). The
+// package owns the format, the checks and the table; who may change it is checked in internal/box.
+//
+// It belongs to the native way, `ospreymoor serve`. On `ospreymoor node` the versioned configuration
+// is one table of routes (pkg/routes), which boxes only read from the platform's store.
 package bundle
 
 import (
@@ -33,7 +37,7 @@
 	TokenSHA256 string `yaml:"token-sha256" json:"tokenSha256"`
 }
 
-// Limits bound what is admitted in the whole fleet; 0 is no limit of its own.
+// Limits bound what is admitted in the whole fleet; 0 sets no limit.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requests-per-second" json:"requestsPerSecond"`
 	InFlight          int     `yaml:"in-flight" json:"inFlight"`
@@ -48,16 +52,16 @@
 	Weights string `yaml:"weights" json:"weights"`
 	// Pool is the pool of engines that can run it; empty takes "llm".
 	Pool string `yaml:"pool" json:"pool"`
-	// Memory that one copy takes on an engine.
+	// Memory that one replica takes on an engine.
 	Memory Size `yaml:"memory" json:"memory"`
 	// Priority: higher runs first.
 	Priority int32 `yaml:"priority" json:"priority"`
-	// FirstToken and BetweenTokens are the targets that a request should be served within.
+	// FirstToken and BetweenTokens are the latency targets of a request.
 	FirstToken    Duration `yaml:"first-token" json:"firstToken"`
 	BetweenTokens Duration `yaml:"between-tokens" json:"betweenTokens"`
 	// Objective is the share of requests to serve within target; 0 takes 0.95.
 	Objective float64 `yaml:"objective" json:"objective"`
-	// MaxTokens bounds an answer; 0 takes 4096.
+	// MaxTokens bounds an answer, in tokens; 0 takes 4096.
 	MaxTokens uint32 `yaml:"max-tokens" json:"maxTokens"`
 	Limits    Limits `yaml:"limits" json:"limits"`
 }
@@ -90,10 +94,15 @@
 
 // Defaults of fields that may be left out.
 const (
-	DefaultPool           = "llm"
-	DefaultObjective      = 0.95
-	DefaultMaxTokens      = 4096
-	DefaultServiceTimeout = 30 * time.Second
+	DefaultPool = "llm"
+	// DefaultObjective is a share of requests: 0.95, chosen, not measured.
+	DefaultObjective = 0.95
+	// defaultMaxTokens is 4096 tokens, chosen, not measured.
+	defaultMaxTokens = 4096
+	// defaultServiceTimeout is 30 s, chosen, not measured.
+	defaultServiceTimeout = 30 * time.Second
+	// defaultWeight is an equal share for each customer.
+	defaultWeight = 1
 )
 
 // ModelItem is the name under which engines hold a model's weights.
@@ -106,7 +115,7 @@
 	return fmt.Sprintf("%s/%s+%s@%s", customer, adapter.Model, adapter.Name, adapter.Weights)
 }
 
-// Model returns the model of a name, or false.
+// Model returns the model of a name, false if there is none.
 func (b *Bundle) Model(name string) (Model, bool) {
 	for _, model := range b.Models {
 		if model.Name == name {
@@ -116,7 +125,7 @@
 	return Model{}, false
 }
 
-// Adapter returns the adapter of a name on a model, or false.
+// Adapter returns the adapter of a name on a model, false if there is none.
 func (b *Bundle) Adapter(model, name string) (Adapter, bool) {
 	for _, adapter := range b.Adapters {
 		if adapter.Model == model && adapter.Name == name {
@@ -126,7 +135,7 @@
 	return Adapter{}, false
 }
 
-// Service returns the plain service of a name, or false.
+// Service returns the plain service of a name, false if there is none.
 func (b *Bundle) Service(name string) (Service, bool) {
 	for _, service := range b.Services {
 		if service.Name == name {
@@ -147,15 +156,15 @@
 			m.Objective = DefaultObjective
 		}
 		if m.MaxTokens == 0 {
-			m.MaxTokens = DefaultMaxTokens
+			m.MaxTokens = defaultMaxTokens
 		}
 	}
 	for i := range b.Services {
 		if b.Services[i].Timeout == 0 {
-			b.Services[i].Timeout = Duration(DefaultServiceTimeout)
+			b.Services[i].Timeout = Duration(defaultServiceTimeout)
 		}
 	}
 	if b.Limits.Weight == 0 {
-		b.Limits.Weight = 1
+		b.Limits.Weight = defaultWeight
 	}
 }
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"regexp"
+	"strings"
 
 	"github.com/goccy/go-yaml"
 	"github.com/juju/errors"
@@ -12,21 +13,23 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// ErrInvalid says that a bundle's text can't be used; the message names line and remedy.
+// ErrInvalid means that a bundle's text can't be used; the message names line and remedy.
 const ErrInvalid = errors.ConstError("bundle invalid")
 
-// MaxTextBytes bounds a bundle's text: it is stored as one value, which JSON may lengthen.
-const MaxTextBytes = kv.MaxValueBytes / 2
+// maxTextBytes bounds a bundle's text, in bytes: it is stored as one value of at most
+// kv.MaxValueBytes, bound of the platform, and JSON may lengthen it.
+const maxTextBytes = kv.MaxValueBytes / 2
 
 var (
 	namePattern   = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 	weightPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$`)
 )
 
-// Parse reads and checks a bundle. source names the text in errors, such as a file's name.
+// Parse reads and checks a bundle and fills in defaults. source names the text in errors, such as
+// a file's name. The error is ErrInvalid.
 func Parse(source string, text []byte) (*Bundle, error) {
-	if len(text) > MaxTextBytes {
-		return nil, invalidf("%s: %d bytes, at most %d: split the customer's models over two customers", source, len(text), MaxTextBytes)
+	if len(text) > maxTextBytes {
+		return nil, invalidf("%s: %d bytes, at most %d: split the customer's models over two customers", source, len(text), maxTextBytes)
 	}
 	var b Bundle
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
@@ -40,16 +43,12 @@
 	return &b, nil
 }
 
-// Digest is the SHA-256 of a bundle's text in hex.
-func Digest(text []byte) string {
-	sum := sha256.Sum256(text)
-	return hex.EncodeToString(sum[:])
-}
-
+// invalidf is an ErrInvalid with its own message.
 func invalidf(format string, args ...any) error {
 	return errors.WithType(errors.Errorf(format, args...), ErrInvalid)
 }
 
+// check finds the first thing that is wrong.
 func (b *Bundle) check() error {
 	if !namePattern.MatchString(b.Customer) {
 		return invalidf("customer %q: use 1 to 63 lower-case letters, digits and dashes", b.Customer)
@@ -170,7 +169,7 @@
 	return nil
 }
 
-// names finds doubled and malformed names of one kind.
+// names finds malformed names and names used twice, of one kind.
 type names struct {
 	kind string
 	seen map[string]bool
@@ -179,7 +178,7 @@
 func newNames(kind string) names { return names{kind: kind, seen: map[string]bool{}} }
 
 func (n names) add(name string) error {
-	last := name[lastSlash(name)+1:]
+	last := name[strings.LastIndexByte(name, '/')+1:]
 	if !namePattern.MatchString(last) {
 		return invalidf("%s %q: use 1 to 63 lower-case letters, digits and dashes", n.kind, last)
 	}
@@ -189,12 +188,3 @@
 	n.seen[name] = true
 	return nil
 }
-
-func lastSlash(name string) int {
-	for i := len(name) - 1; i >= 0; i-- {
-		if name[i] == '/' {
-			return i
-		}
-	}
-	return -1
-}
--- a/pkg/bundle/registry.go
+++ b/pkg/bundle/registry.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"slices"
 	"sort"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,44 +16,18 @@
 
 // Kinds of refusal. Each message names what to do next.
 const (
-	// ErrVersionUsed: another text was signed off under this version.
+	// ErrVersionUsed means that another text was signed off under this version.
 	ErrVersionUsed = errors.ConstError("version already signed off with another text: raise the version")
-	// ErrNotSignedOff: no such version was signed off.
+	// ErrNotSignedOff means that no such version was signed off.
 	ErrNotSignedOff = errors.ConstError("version not signed off: run bundle sign-off first")
-	// ErrOlder: the version is not above the one in force.
+	// ErrOlder means that the version is not above the one in force, or in force last.
 	ErrOlder = errors.ConstError("version not above the one in force: sign off the content as a higher version")
-	// ErrNotInForce: the version to retire is not the one in force.
+	// ErrNotInForce means that the version to retire is not the one in force.
 	ErrNotInForce = errors.ConstError("version not in force: see bundle list")
-	// ErrTokenUsed: a caller's token stands in another bundle in force.
+	// ErrTokenUsed means that another bundle in force has a caller with the same token.
 	ErrTokenUsed = errors.ConstError("a caller's token is in use already: make a new random token")
 )
 
-// Places in the key-value service.
-const (
-	TableKey = "fleet/inforce"
-	textKeys = "bundles/"
-)
-
-// Table says which version of each customer is in force.
-type Table struct {
-	Customers map[string]Entry `json:"customers"`
-}
-
-// Entry is one customer's line in the table.
-type Entry struct {
-	Version uint64 `json:"version"`
-	// Retired tells that the version was in force last but serves nothing now.
-	Retired bool      `json:"retired,omitempty"`
-	Since   time.Time `json:"since"`
-}
-
-// Text is a signed-off bundle as it is stored.
-type Text struct {
-	YAML     string    `json:"yaml"`
-	Digest   string    `json:"digest"`
-	SignedAt time.Time `json:"signedAt"`
-}
-
 // Summary is one bundle version in a listing.
 type Summary struct {
 	Customer string
@@ -65,38 +37,30 @@
 	Digest string
 }
 
-// States of a signed-off version.
-const (
-	StateSignedOff = "signed off"
-	StateInForce   = "in force"
-	StateRetired   = "retired"
-)
-
 // Registry signs off, rolls and retires bundles. It is safe for concurrent use.
 type Registry struct {
 	Store kv.Store
 	// Fits returns an error with the figures if the bundles of next can't all be kept resident while
-	// those of current give way to them; nil accepts all.
+	// those of current give way to them. Optional, for embedders: nil accepts all.
 	Fits func(current, next []*Bundle) error
-	// AnswerTime bounds one change when its context has no deadline; 0 takes 10 s.
-	AnswerTime time.Duration
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// texts holds the parsed versions by TextKey: they never change.
 	texts map[string]*Bundle
 }
 
-const defaultAnswerTime = 10 * time.Second
-
-// TextKey is the place of a signed-off bundle.
-func TextKey(customer string, version uint64) string {
-	return fmt.Sprintf("%s%s/%d", textKeys, customer, version)
-}
+// changeTimeout bounds one change when its context has no deadline: 10 s, chosen, not measured.
+const changeTimeout = 10 * time.Second
 
-// SignOff stores a checked text for good. Doing it again with the same text is no error.
+// SignOff stores a checked text for good and returns its digest. Doing it again with the same text
+// is no error; with another text it is ErrVersionUsed. After kv.ErrUnknown it may be stored.
+//
+// Retry: an attempt whose outcome was lost is made again at once if the key is still free. Each
+// turn costs a write and a read of the store, and the deadline of ctx ends the turns.
 func (r *Registry) SignOff(ctx context.Context, b *Bundle, text []byte) (string, error) {
 	ctx, cancel := r.bounded(ctx)
 	defer cancel()
-	digest := Digest(text)
+	digest := textDigest(text)
 	value, err := json.Marshal(Text{YAML: string(text), Digest: digest, SignedAt: time.Now().UTC()})
 	if err != nil {
 		return "", errors.Trace(err)
@@ -110,7 +74,7 @@
 		if !errors.Is(err, kv.ErrUnknown) && !errors.Is(err, kv.ErrConflict) {
 			return "", err
 		}
-		// The key is written once, so what stands there now settles the matter.
+		// The key is written once, so its present value settles the matter.
 		stored, readErr := r.text(ctx, b.Customer, b.Version)
 		switch {
 		case readErr == nil && stored.Digest == digest:
@@ -118,12 +82,18 @@
 		case readErr == nil:
 			return "", errors.Annotatef(ErrVersionUsed, "%s version %d", b.Customer, b.Version)
 		case !errors.Is(readErr, ErrNotSignedOff):
+			// The key can't be read back either; the cause of the write's failure is the one to report.
 			return "", fmt.Errorf("%w: %w", err, kv.ErrUnknown)
 		}
 	}
 }
 
 // Roll puts a signed-off version in force and returns the table's new generation.
+//
+// The version must be above the one in force, or in force last; none of its tokens may be in use by
+// another customer; and Fits must accept the bundles in force after it. All three are checked
+// inside the swap of the table, so that two rolls which fit only singly can't both pass. The
+// errors are ErrNotSignedOff, ErrOlder, ErrTokenUsed, those of Fits and those of the store.
 func (r *Registry) Roll(ctx context.Context, customer string, version uint64) (int64, error) {
 	ctx, cancel := r.bounded(ctx)
 	defer cancel()
@@ -141,7 +111,8 @@
 	return table.Revision, err
 }
 
-// Retire takes the version in force out of service.
+// Retire takes the version in force out of service and returns the table's new generation. The
+// error is ErrNotInForce for any other version, or one of the store.
 func (r *Registry) Retire(ctx context.Context, customer string, version uint64) (int64, error) {
 	ctx, cancel := r.bounded(ctx)
 	defer cancel()
@@ -183,7 +154,8 @@
 	return list, nil
 }
 
-// Load returns a signed-off version; versions never change, so they are read once.
+// Load returns a signed-off version, or ErrNotSignedOff. Versions never change, so they are read
+// once.
 func (r *Registry) Load(ctx context.Context, customer string, version uint64) (*Bundle, error) {
 	key := TextKey(customer, version)
 	r.mu.Lock()
@@ -209,16 +181,7 @@
 	return b, nil
 }
 
-// DecodeText decodes the value stored under a TextKey.
-func DecodeText(key string, value []byte) (*Bundle, error) {
-	var text Text
-	if err := json.Unmarshal(value, &text); err != nil {
-		return nil, errors.Annotatef(err, "decoding %s", key)
-	}
-	return Parse(key, []byte(text.YAML))
-}
-
-// withVersion returns table with next in force, if all fits.
+// withVersion returns table with next in force, if tokens and memory allow it.
 func (r *Registry) withVersion(ctx context.Context, table Table, next *Bundle) (Table, error) {
 	current, err := r.inForce(ctx, table)
 	if err != nil {
@@ -237,6 +200,7 @@
 	return table.with(next.Customer, entry), nil
 }
 
+// inForce loads the bundles that a table has in force.
 func (r *Registry) inForce(ctx context.Context, table Table) ([]*Bundle, error) {
 	var bundles []*Bundle
 	for _, customer := range table.Serving() {
@@ -249,79 +213,10 @@
 	return bundles, nil
 }
 
-func (r *Registry) text(ctx context.Context, customer string, version uint64) (Text, error) {
-	var text Text
-	record, err := r.Store.Get(ctx, TextKey(customer, version))
-	if errors.Is(err, kv.ErrNotFound) {
-		return text, errors.Annotatef(ErrNotSignedOff, "%s version %d", customer, version)
-	}
-	if err != nil {
-		return text, err
-	}
-	err = json.Unmarshal(record.Value, &text)
-	return text, errors.Annotatef(err, "decoding %s", record.Key)
-}
-
+// bounded is ctx with a deadline, changeTimeout away if it has none.
 func (r *Registry) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
-	limit := r.AnswerTime
-	if limit == 0 {
-		limit = defaultAnswerTime
-	}
-	return context.WithTimeout(ctx, limit)
-}
-
-// Serving lists the customers with a version in force, in order.
-func (t Table) Serving() []string {
-	var customers []string
-	for customer, entry := range t.Customers {
-		if !entry.Retired {
-			customers = append(customers, customer)
-		}
-	}
-	sort.Strings(customers)
-	return customers
-}
-
-func (t Table) with(customer string, entry Entry) Table {
-	next := Table{Customers: make(map[string]Entry, len(t.Customers)+1)}
-	for name, old := range t.Customers {
-		next.Customers[name] = old
-	}
-	next.Customers[customer] = entry
-	return next
-}
-
-func (e Entry) state(version uint64) string {
-	switch {
-	case version != e.Version:
-		return StateSignedOff
-	case e.Retired:
-		return StateRetired
-	default:
-		return StateInForce
-	}
-}
-
-// checkTokens keeps one token from naming two customers.
-func checkTokens(others []*Bundle, next *Bundle) error {
-	used := map[string]bool{}
-	for _, other := range others {
-		for _, caller := range other.Callers {
-			used[strings.ToLower(caller.TokenSHA256)] = true
-		}
-	}
-	for _, caller := range next.Callers {
-		if used[strings.ToLower(caller.TokenSHA256)] {
-			return errors.Annotatef(ErrTokenUsed, "caller %s", caller.Name)
-		}
-	}
-	return nil
-}
-
-func versionOf(key string) (uint64, error) {
-	version, err := strconv.ParseUint(key[lastSlash(key)+1:], 10, 64)
-	return version, errors.Annotatef(err, "key %s", key)
+	return context.WithTimeout(ctx, changeTimeout)
 }
--- /dev/null
+++ b/pkg/bundle/table.go
@@ -0,0 +1,82 @@
+package bundle
+
+import (
+	"sort"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+)
+
+// TableKey is the key of the table in force in the key-value service.
+const TableKey = "fleet/inforce"
+
+// States of a signed-off version.
+const (
+	StateSignedOff = "signed off"
+	StateInForce   = "in force"
+	StateRetired   = "retired"
+)
+
+// Table holds the version of each customer that is in force.
+type Table struct {
+	Customers map[string]Entry `json:"customers"`
+}
+
+// Entry is one customer's line in the table.
+type Entry struct {
+	Version uint64 `json:"version"`
+	// Retired versions were in force last but serve nothing now.
+	Retired bool      `json:"retired,omitempty"`
+	Since   time.Time `json:"since"`
+}
+
+// Serving lists the customers with a version in force, in order.
+func (t Table) Serving() []string {
+	var customers []string
+	for customer, entry := range t.Customers {
+		if !entry.Retired {
+			customers = append(customers, customer)
+		}
+	}
+	sort.Strings(customers)
+	return customers
+}
+
+// with is the table with another entry for a customer; t stays as it is.
+func (t Table) with(customer string, entry Entry) Table {
+	next := Table{Customers: make(map[string]Entry, len(t.Customers)+1)}
+	for name, old := range t.Customers {
+		next.Customers[name] = old
+	}
+	next.Customers[customer] = entry
+	return next
+}
+
+// state is the State of one of the customer's versions.
+func (e Entry) state(version uint64) string {
+	switch {
+	case version != e.Version:
+		return StateSignedOff
+	case e.Retired:
+		return StateRetired
+	default:
+		return StateInForce
+	}
+}
+
+// checkTokens returns ErrTokenUsed if a token of next belongs to another customer already.
+func checkTokens(others []*Bundle, next *Bundle) error {
+	used := map[string]bool{}
+	for _, other := range others {
+		for _, caller := range other.Callers {
+			used[strings.ToLower(caller.TokenSHA256)] = true
+		}
+	}
+	for _, caller := range next.Callers {
+		if used[strings.ToLower(caller.TokenSHA256)] {
+			return errors.Annotatef(ErrTokenUsed, "caller %s", caller.Name)
+		}
+	}
+	return nil
+}
--- a/pkg/bundle/units.go
+++ b/pkg/bundle/units.go
@@ -1,7 +1,6 @@
 package bundle
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/docker/go-units"
@@ -19,18 +18,13 @@
 	}
 	bytes, err := units.RAMInBytes(text)
 	if err != nil {
+		// The message names the remedy; the cause would add nothing.
 		return errors.Errorf("size %q: write it as 14GiB or 512MiB", text)
 	}
 	*s = Size(bytes)
 	return nil
 }
 
-// MarshalYAML writes a size with its unit.
-func (s Size) MarshalYAML() (any, error) { return s.String(), nil }
-
-// String is the size with its unit.
-func (s Size) String() string { return units.BytesSize(float64(s)) }
-
 // Duration is a time.Duration, written as 880ms or 1m30s.
 type Duration time.Duration
 
@@ -42,14 +36,9 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
+		// The message names the remedy; the cause would add nothing.
 		return errors.Errorf("duration %q: write it as 880ms or 1m30s", text)
 	}
 	*d = Duration(duration)
 	return nil
 }
-
-// MarshalYAML writes a duration with its unit.
-func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
-
-// MarshalJSON writes a duration in nanoseconds, as time.Duration does.
-func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d)) }
--- a/pkg/orders/intents.go
+++ b/pkg/orders/intents.go
@@ -13,8 +13,8 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// Intent is an order to an engine that is not fenced, stored before it is sent.
-type Intent struct {
+// intent is an order to an engine that is not fenced, stored before it is sent.
+type intent struct {
 	ID   string         `json:"id"`
 	Term int64          `json:"term"`
 	Load bool           `json:"load"`
@@ -25,7 +25,7 @@
 type hallIntents struct {
 	// Term is the highest that has read the document; a lower one may not write it.
 	Term    int64               `json:"term"`
-	Engines map[string][]Intent `json:"engines"`
+	Engines map[string][]intent `json:"engines"`
 }
 
 // intentsKey is the key of a hall's intents in the key-value service.
@@ -75,12 +75,12 @@
 		return false, err
 	}
 	open := n.body.Engines[engine]
-	left := slices.DeleteFunc(slices.Clone(open), func(i Intent) bool { return n.finished(i, state) })
+	left := slices.DeleteFunc(slices.Clone(open), func(i intent) bool { return n.finished(i, state) })
 	if len(left) == len(open) {
 		return len(open) == 0, nil
 	}
-	err := n.update(ctx, engine, func(stored []Intent) []Intent {
-		return slices.DeleteFunc(stored, func(i Intent) bool { return n.finished(i, state) })
+	err := n.update(ctx, engine, func(stored []intent) []intent {
+		return slices.DeleteFunc(stored, func(i intent) bool { return n.finished(i, state) })
 	})
 	return err == nil && len(left) == 0, err
 }
@@ -91,10 +91,10 @@
 		return "", err
 	}
 	defer n.turn.Release(1)
-	intent := Intent{ID: uuid.NewString(), Term: term, Load: o.load, Item: o.item}
-	n.underWaySince[intent.ID] = time.Now()
-	return intent.ID, n.update(ctx, engine, func(stored []Intent) []Intent {
-		return append(slices.Clone(stored), intent)
+	next := intent{ID: uuid.NewString(), Term: term, Load: o.load, Item: o.item}
+	n.underWaySince[next.ID] = time.Now()
+	return next.ID, n.update(ctx, engine, func(stored []intent) []intent {
+		return append(slices.Clone(stored), next)
 	})
 }
 
@@ -132,7 +132,7 @@
 
 // finished reports whether an intent has taken effect or no longer can. The life of an intent
 // that this box did not write begins when it is first seen here.
-func (n *intents) finished(i Intent, state State) bool {
+func (n *intents) finished(i intent, state State) bool {
 	if n.refused[i.ID] || hasItem(state.Resident, i.Item.Name) == i.Load {
 		return true
 	}
@@ -148,12 +148,12 @@
 }
 
 // update changes one engine's intents in the document. The caller holds busy.
-func (n *intents) update(ctx context.Context, engine string, change func([]Intent) []Intent) error {
+func (n *intents) update(ctx context.Context, engine string, change func([]intent) []intent) error {
 	document, err := kv.UpdateDocument(ctx, n.store, n.key, func(body hallIntents) (hallIntents, error) {
 		if body.Term != n.term {
 			return body, errors.Annotatef(ErrFenced, "intents of term %d, own term %d", body.Term, n.term)
 		}
-		next := hallIntents{Term: body.Term, Engines: map[string][]Intent{}}
+		next := hallIntents{Term: body.Term, Engines: map[string][]intent{}}
 		for id, stored := range body.Engines {
 			next.Engines[id] = stored
 		}
