--- a/pkg/burn/burn.go
+++ b/pkg/burn/burn.go
@@ -1,8 +1,13 @@
-// Package burn counts how models are served against their targets.
+// Package burn counts how models and services are served against their targets, and reports the
+// error budget and the burn rates.
 //
 // Each box counts for itself under its incarnation, and counts only grow. A snapshot can
-// therefore be kept by other boxes and merged in any order: the latest of each
-// incarnation counts, also after the box is gone.
+// therefore be kept by other boxes and merged in any order: the latest of each incarnation counts,
+// also after the box is gone. The package owns the counts and the arithmetic; internal/box decides
+// what is late and hands snapshots to other boxes.
+//
+// It belongs to the native way, `ospreymoor serve`. `ospreymoor node` has no burn report; its
+// metrics count requests by outcome instead.
 package burn
 
 import (
@@ -11,40 +16,37 @@
 	"time"
 )
 
-// Result is what became of one request.
+// Result is the outcome of one request as the report counts it.
 type Result int
 
 // The results of a request.
 const (
-	// WithinTarget: served whole, within the model's targets.
+	// WithinTarget requests were served whole, within the targets.
 	WithinTarget Result = iota
-	// Late: served whole, beyond a target.
+	// Late requests were served whole, beyond a target.
 	Late
-	// Failed: the answer broke off or its outcome is unknown.
+	// Failed requests broke off, or their outcome is unknown.
 	Failed
-	// Refused: not run.
+	// Refused requests were not run.
 	Refused
 )
 
 const (
-	// slotTime is the span of one slot of the windows.
-	slotTime = 5 * time.Minute
-	// longSlots is the long window: an hour.
+	// slotSpan is the span of one slot of the windows: 5 min, chosen, not measured.
+	slotSpan = 5 * time.Minute
+	// longSlots is the long window, 12 slots or an hour: chosen, not measured.
 	longSlots = 12
-	// shortSlots is the short window: the slot under way and the one before.
+	// shortSlots is the short window, the slot under way and the one before: 5 to 10 min, chosen,
+	// not measured.
 	shortSlots = 2
 )
 
-// Windows over which burn rates are taken.
-const (
-	ShortWindow = shortSlots * slotTime
-	LongWindow  = longSlots * slotTime
-)
-
-// Line counts the requests of one customer's model or service.
+// Line counts the requests of one customer's model or service since its box started.
 type Line struct {
-	Customer  string  `json:"customer"`
-	Model     string  `json:"model"`
+	Customer string `json:"customer"`
+	// Model is the name of the model or of the service.
+	Model string `json:"model"`
+	// Objective is the share of requests to serve within target.
 	Objective float64 `json:"objective"`
 	Within    uint64  `json:"within,omitempty"`
 	Late      uint64  `json:"late,omitempty"`
@@ -57,7 +59,7 @@
 
 // Slot counts the requests of one span of time.
 type Slot struct {
-	// Number is the span's time divided by its length.
+	// Number is the span's time since 1970 divided by slotSpan.
 	Number int64  `json:"n"`
 	Total  uint64 `json:"t"`
 	Missed uint64 `json:"m,omitempty"`
@@ -65,11 +67,12 @@
 
 // Snapshot is what one incarnation of a box has counted.
 type Snapshot struct {
-	Box         string    `json:"box"`
-	Incarnation string    `json:"incarnation"`
-	Sequence    uint64    `json:"sequence"`
-	Since       time.Time `json:"since"`
-	Lines       []Line    `json:"lines"`
+	Box         string `json:"box"`
+	Incarnation string `json:"incarnation"`
+	// Sequence grows with each request: the highest is the latest.
+	Sequence uint64    `json:"sequence"`
+	Since    time.Time `json:"since"`
+	Lines    []Line    `json:"lines"`
 }
 
 // Recorder counts for one box. It is safe for concurrent use.
@@ -89,7 +92,7 @@
 	}
 }
 
-// Record counts one request; reason is that of a refusal.
+// Record counts one request; reason counts for refusals only.
 func (r *Recorder) Record(customer, model string, objective float64, result Result, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,6 +121,7 @@
 	return snapshot
 }
 
+// count adds one request to the totals.
 func (l *Line) count(result Result, reason string) {
 	switch result {
 	case WithinTarget:
@@ -134,6 +138,7 @@
 	}
 }
 
+// slot adds one request to the slot of its time.
 func (l *Line) slot(now time.Time, missed bool) {
 	number := slotNumber(now)
 	if len(l.Slots) == 0 || l.Slots[len(l.Slots)-1].Number != number {
@@ -162,7 +167,8 @@
 	return c
 }
 
-func slotNumber(at time.Time) int64 { return at.Unix() / int64(slotTime.Seconds()) }
+// slotNumber is the number of the slot under way at a time.
+func slotNumber(at time.Time) int64 { return at.Unix() / int64(slotSpan.Seconds()) }
 
 func sortLines(lines []Line) {
 	sort.Slice(lines, func(i, j int) bool {
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -7,13 +7,15 @@
 
 // Keeper holds the latest snapshot of each incarnation of other boxes. It is safe for concurrent use.
 type Keeper struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// snapshots by incarnation, and the incarnations in the order in which they came.
 	snapshots map[string]Snapshot
 	order     []string
 }
 
-// maxKept bounds the incarnations kept; the one that came first goes first.
-const maxKept = 64
+// maxIncarnations bounds the snapshots kept; the one that came first goes first: 64, chosen, not
+// measured.
+const maxIncarnations = 64
 
 // NewKeeper returns an empty keeper.
 func NewKeeper() *Keeper { return &Keeper{snapshots: map[string]Snapshot{}} }
@@ -30,7 +32,7 @@
 		k.order = append(k.order, snapshot.Incarnation)
 	}
 	k.snapshots[snapshot.Incarnation] = snapshot
-	if len(k.order) > maxKept {
+	if len(k.order) > maxIncarnations {
 		delete(k.snapshots, k.order[0])
 		k.order = k.order[1:]
 	}
@@ -47,10 +49,10 @@
 	return all
 }
 
-// Status is one line with what follows from it.
+// Status is the sum of all boxes' lines of one model or service, with the rates.
 type Status struct {
 	Line
-	// Requests is all that came, refused ones included.
+	// Requests is the number of all requests, refused ones included.
 	Requests uint64
 	// BudgetLeft is the share of the error budget left; below 0 it is overspent.
 	BudgetLeft float64
@@ -60,7 +62,9 @@
 	BurnLong  float64
 }
 
-// Report adds up the latest snapshot of each incarnation.
+// Report adds up the latest snapshot of each incarnation, by customer and model. Every request that
+// was not served within target spends the error budget, refused ones too. If boxes go by different
+// objectives while a bundle rolls, the higher one counts.
 func Report(snapshots []Snapshot, now time.Time) []Status {
 	latest := map[string]Snapshot{}
 	for _, s := range snapshots {
@@ -90,6 +94,7 @@
 	return statuses
 }
 
+// add adds another box's line of the same model.
 func (l *Line) add(other Line) {
 	l.Objective = max(l.Objective, other.Objective)
 	l.Within += other.Within
@@ -101,6 +106,7 @@
 	l.Slots = append(l.Slots, other.Slots...)
 }
 
+// status is the error budget and the burn rates of a sum.
 func (l Line) status(now time.Time) Status {
 	s := Status{Line: l, Requests: l.Within + l.Late + l.Failed}
 	for _, n := range l.Refused {
@@ -117,7 +123,8 @@
 	return s
 }
 
-// rate is the share of missed requests over the latest slots, against what is allowed.
+// rate is the share of missed requests over the latest slots, as a multiple of the share allowed;
+// 0 without requests.
 func (l Line) rate(now time.Time, slots int64, allowed float64) float64 {
 	first := slotNumber(now) - slots + 1
 	var total, missed uint64
