--- a/internal/endtoend/faults_test.go
+++ b/internal/endtoend/faults_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -14,76 +12,8 @@
 	. "github.com/onsi/gomega"
 
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
-	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// holdsLease tells from a box's log whether it holds a lease.
-func (p *process) holdsLease(key string) bool {
-	held := false
-	for _, line := range strings.Split(string(p.session.Err.Contents()), "\n") {
-		var entry struct {
-			Msg, Key string
-			Held     bool
-		}
-		if json.Unmarshal([]byte(line), &entry) == nil && entry.Msg == "lease" && entry.Key == key {
-			held = entry.Held
-		}
-	}
-	return held
-}
-
-// controllerOf finds the box that holds a hall's lease, and another one.
-func (f *fleet) controllerOf(hall string) (controller, other *process) {
-	Eventually(func() *process {
-		for _, b := range f.boxes {
-			if b.holdsLease("leases/hall/" + hall) {
-				controller = b
-			}
-		}
-		return controller
-	}, 20*time.Second).ShouldNot(BeNil())
-	for _, b := range f.boxes {
-		if b != controller {
-			other = b
-		}
-	}
-	return controller, other
-}
-
-func (f *fleet) overcommitted() int {
-	n := 0
-	for _, e := range f.engines {
-		n += e.record().Overcommitted
-	}
-	return n
-}
-
-// startsOf counts how often a prompt was started on any engine.
-func (f *fleet) startsOf(prompt string) int {
-	n := 0
-	for _, e := range f.engines {
-		n += e.record().Prompts[prompt]
-	}
-	return n
-}
-
-// oneHall starts a hall of two boxes and two engines with a bundle in force.
-func oneHall(engine engineSpec, memory string, models ...string) *fleet {
-	f := startFleet("hall-1")
-	for _, id := range []string{"e1", "e2"} {
-		engine.id, engine.hall = id, "hall-1"
-		f.addEngine(engine)
-	}
-	for _, id := range []string{"b1", "b2"} {
-		f.addBox(id, "hall-1")
-	}
-	roll(f.boxes["b1"], bundleYAML(1, "w1", memory, models...))
-	for _, b := range f.boxes {
-		awaitModels(b, models...)
-	}
-	return f
-}
-
 var _ = Describe("Real processes under kills and freezes", func() {
 	for _, unfenced := range []bool{false, true} {
 		It(fmt.Sprintf("never overcommit memory when a controller is frozen past its lease and thawed (unfenced engines: %v)", unfenced), func() {
@@ -91,10 +21,10 @@
 			frozen, other := f.controllerOf("hall-1")
 			frozen.signal(syscall.SIGSTOP)
 			Eventually(func() bool { return other.holdsLease("leases/hall/hall-1") }, 30*time.Second).Should(BeTrue())
-			roll(other, bundleYAML(2, "w2", "12GiB", "m1", "m2"))
+			roll(other, bundleText(2, "w2", "12GiB", "m1", "m2"))
 			time.Sleep(2 * time.Second)
 			frozen.signal(syscall.SIGCONT)
-			roll(other, bundleYAML(3, "w3", "12GiB", "m1", "m2"))
+			roll(other, bundleText(3, "w3", "12GiB", "m1", "m2"))
 			Eventually(func() float64 { return frozen.metric("ospreymoor_in_force_generation") }, 10*time.Second).
 				Should(Equal(other.metric("ospreymoor_in_force_generation")))
 			for _, b := range f.boxes {
@@ -123,20 +53,20 @@
 		}
 		text, err := f.boxes["b2"].complete(context.Background(), retry)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(text).To(Equal(strings.Join(standin.Answer("acme/writer@writer-w1", "", "issue report 17", 40), "")))
+		Expect(text).To(Equal(wholeAnswer("writer", "w1", "issue report 17", 40)))
 		Expect(f.startsOf("issue report 17")).To(Equal(1))
 	})
 
 	It("run keyed requests at most once while a box freezes and thaws, and 'not run' is true", func() {
 		f := oneHall(engineSpec{memory: 64 * gib}, "8GiB", "writer")
-		var told history[string]
+		var found findings
 		var callers sync.WaitGroup
 		for caller := range 6 {
 			random := rand.New(rand.NewPCG(1, uint64(caller)))
 			callers.Go(func() {
 				defer GinkgoRecover()
 				for n := range 6 {
-					keyedUntilAnswered(f, random, fmt.Sprintf("r%d-%d", caller, n), &told)
+					keyedUntilAnswered(f, random, fmt.Sprintf("r%d-%d", caller, n), &found)
 				}
 			})
 		}
@@ -154,7 +84,7 @@
 				Expect(f.startsOf(prompt)).To(BeNumerically("<=", 1), prompt)
 			}
 		}
-		Expect(told.all()).To(BeEmpty())
+		Expect(found.all()).To(BeEmpty())
 	})
 
 	It("refuse keyed requests at once while the platform is down, and serve all others", func() {
@@ -162,7 +92,7 @@
 		f.platformMode("down")
 		request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "x", NotRepeatable: true, RequestKey: newKey(), FirstAttempt: true}
 		_, err := f.boxes["b1"].complete(context.Background(), request)
-		Expect(outcome(err)).To(Equal(ospreymoorv1.Outcome_OUTCOME_NOT_RUN))
+		Expect(outcomeOf(err)).To(Equal(ospreymoorv1.Outcome_OUTCOME_NOT_RUN))
 		Expect(err).To(MatchError(ContainSubstring("come back with the same request key (come back in 1s)")))
 		awaitModels(f.boxes["b1"], "writer")
 
@@ -182,9 +112,9 @@
 	})
 })
 
-// keyedUntilAnswered sends one keyed request to random boxes until it is answered; it notes a
-// 'not run' that was not true when it was told.
-func keyedUntilAnswered(f *fleet, random *rand.Rand, prompt string, told *history[string]) {
+// keyedUntilAnswered sends one keyed request to random boxes until it is answered; it records a
+// 'not run' that was not true when it came.
+func keyedUntilAnswered(f *fleet, random *rand.Rand, prompt string, found *findings) {
 	request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: prompt, MaxTokens: 8, NotRepeatable: true, RequestKey: newKey()}
 	for try := range 10 {
 		request.FirstAttempt = try == 0
@@ -192,15 +122,15 @@
 		text, err := f.boxes[fmt.Sprintf("b%d", 1+random.IntN(2))].complete(ctx, request)
 		cancel()
 		if err == nil {
-			if text != strings.Join(standin.Answer("acme/writer@writer-w1", "", prompt, 8), "") {
-				told.add(prompt + ": not the whole answer of its own: " + text)
+			if text != wholeAnswer("writer", "w1", prompt, 8) {
+				found.add(prompt + ": not the whole answer of its own: " + text)
 			}
 			return
 		}
-		if outcome(err) == ospreymoorv1.Outcome_OUTCOME_NOT_RUN && f.startsOf(prompt) > 0 {
-			told.add(prompt + ": told not run, but had been started: " + err.Error())
+		if outcomeOf(err) == ospreymoorv1.Outcome_OUTCOME_NOT_RUN && f.startsOf(prompt) > 0 {
+			found.add(prompt + ": told not run, but had been started: " + err.Error())
 		}
 		time.Sleep(time.Duration(100+random.IntN(300)) * time.Millisecond)
 	}
-	told.add(prompt + ": no answer after ten attempts")
+	found.add(prompt + ": no answer after ten attempts")
 }
--- a/internal/endtoend/path_test.go
+++ b/internal/endtoend/path_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -10,7 +9,6 @@
 	"time"
 
 	"connectrpc.com/connect"
-	"github.com/google/uuid"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
@@ -18,48 +16,14 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-const gib = 1 << 30
-
-// twoHalls starts two halls, each with a box and an engine, and a bundle in force.
-func twoHalls(models ...string) *fleet {
-	f := startFleet("hall-1", "hall-2")
-	for _, hall := range []string{"hall-1", "hall-2"} {
-		f.addEngine(engineSpec{id: hall + "-engine", hall: hall, memory: 64 * gib})
-		f.addBox(hall+"-box", hall)
-	}
-	roll(f.boxes["hall-1-box"], bundleYAML(1, "a", "8GiB", models...))
-	for _, b := range f.boxes {
-		awaitModels(b, models...)
-	}
-	return f
-}
-
-// post sends a plain-service call with a key.
-func (p *process) post(key, body string) (int, string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+p.address+"/services/portal/reports", strings.NewReader(body))
-	Expect(err).NotTo(HaveOccurred())
-	request.Header.Set("Authorization", "Bearer "+callerToken)
-	request.Header.Set("Request-Key", key)
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer func() { _ = response.Body.Close() }()
-	text, _ := io.ReadAll(response.Body)
-	return response.StatusCode, string(text)
-}
-
-func newKey() string { return uuid.Must(uuid.NewV7()).String() }
-
 var _ = Describe("The whole path in separate processes", func() {
 	It("serves models, plain services and requests that may not be repeated", func() {
 		f := twoHalls("writer")
 		one, two := f.boxes["hall-1-box"], f.boxes["hall-2-box"]
 
 		By("streaming a whole answer")
-		request := connect.NewRequest(&ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "findings", MaxTokens: 12})
-		request.Header().Set("Authorization", "Bearer "+callerToken)
-		stream, err := one.inference().Generate(context.Background(), request)
+		request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "findings", MaxTokens: 12}
+		stream, err := one.inference().Generate(context.Background(), authorized(request))
 		Expect(err).NotTo(HaveOccurred())
 		var pieces []string
 		var end *ospreymoorv1.End
@@ -75,7 +39,8 @@
 		By("forwarding a plain call")
 		response, err := http.DefaultClient.Do(get(one, "/services/portal/reports/17"))
 		Expect(err).NotTo(HaveOccurred())
-		text, _ := io.ReadAll(response.Body)
+		text, err := io.ReadAll(response.Body)
+		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
 		Expect(string(text)).To(Equal("content of /reports/17\n"))
 
@@ -108,7 +73,7 @@
 		out, code = command("bundle", "list", "--box", "http://"+two.address, "--token", operatorToken)
 		Expect(code).To(Equal(0), out)
 		Expect(out).To(MatchRegexp(`acme +1 +in force`))
-		out, code = operate(two, "retire", bundleYAML(1, "a", "8GiB", "writer"))
+		out, code = operate(two, "retire", bundleText(1, "a", "8GiB", "writer"))
 		Expect(code).To(Equal(0), out)
 		Eventually(func() connect.Code {
 			_, err := one.complete(context.Background(), &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "x"})
@@ -132,7 +97,7 @@
 		_, err = b.complete(ctx, &ospreymoorv1.GenerateRequest{Model: "writer", NotRepeatable: true, RequestKey: "17"})
 		Expect(connect.CodeOf(err)).To(Equal(connect.CodeInvalidArgument))
 		Expect(err).To(MatchError(ContainSubstring("UUIDv7")))
-		Expect(outcome(err)).To(Equal(ospreymoorv1.Outcome_OUTCOME_NOT_RUN))
+		Expect(outcomeOf(err)).To(Equal(ospreymoorv1.Outcome_OUTCOME_NOT_RUN))
 
 		_, err = b.complete(ctx, &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: strings.Repeat("x", 5<<20)})
 		Expect(connect.CodeOf(err)).To(Equal(connect.CodeResourceExhausted))
@@ -144,15 +109,15 @@
 		Expect(response.StatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(response.Body.Close()).To(Succeed())
 
-		out, code := operate(b, "sign-off", strings.Replace(bundleYAML(2, "b", "8GiB", "writer"), "memory", "memry", 1))
+		out, code := operate(b, "sign-off", strings.Replace(bundleText(2, "b", "8GiB", "writer"), "memory", "memry", 1))
 		Expect(code).To(Equal(1))
 		Expect(out).To(ContainSubstring(`unknown field "memry"`))
 
-		out, code = operate(b, "roll", bundleYAML(9, "b", "8GiB", "writer"))
+		out, code = operate(b, "roll", bundleText(9, "b", "8GiB", "writer"))
 		Expect(code).To(Equal(1))
 		Expect(out).To(ContainSubstring("run bundle sign-off first"))
 
-		By("surviving a garbage frame at the peer door")
+		By("surviving a garbage frame at the peer listener")
 		conn := dial(b.peer)
 		_, err = conn.Write([]byte("\xff\xff\xff\xff\x7fGET / HTTP/1.1\r\n\r\n"))
 		Expect(err).NotTo(HaveOccurred())
@@ -179,10 +144,3 @@
 			"unknown flag --haul, did you mean \"--hall\"?: see ospreymoor --help"),
 	)
 })
-
-func get(p *process, path string) *http.Request {
-	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s%s", p.address, path), nil)
-	Expect(err).NotTo(HaveOccurred())
-	request.Header.Set("Authorization", "Bearer "+callerToken)
-	return request
-}
