--- a/internal/cmd/bundle.go
+++ b/internal/cmd/bundle.go
@@ -23,12 +23,13 @@
 	List    bundleListCommand    `cmd:"" help:"List the customer's signed-off versions."`
 }
 
-// operatorFlags say which box to ask, and as whom.
+// operatorFlags name the box to call and the operator who calls it.
 type operatorFlags struct {
 	Box   string `name:"box" env:"OSPREYMOOR_BOX" default:"http://127.0.0.1:8080" help:"URL of any entry box."`
 	Token string `name:"token" env:"OSPREYMOOR_TOKEN" help:"The operator's token."`
 }
 
+// client is a client of the box's operators' service; the error is an errSettings.
 func (f operatorFlags) client() (ospreymoorv1connect.OperatorServiceClient, error) {
 	if f.Token == "" {
 		return nil, missing("token", "give the token of the customer's operators")
@@ -46,7 +47,8 @@
 	return request
 }
 
-// eachBundle reads and checks each file, then does what is to be done with it.
+// eachBundle reads and checks each file and calls do with its bundle and text. It stops at the first
+// error: the files before it are done.
 func eachBundle(files []string, do func(*bundle.Bundle, string) error) error {
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,8 @@
-// Package cmd is ospreymoor's command line: one file a command.
+// Package cmd is ospreymoor's command line, one file for each command.
+//
+// It owns flags, variables, exit codes and what commands print. Each command checks its settings
+// and then calls one package: internal/box for `serve` (the native way), platform for `node` (the
+// users' platform), internal/dev for `dev`, and the operators' service of a box for the others.
 package cmd
 
 import (
@@ -17,10 +21,11 @@
 // envPrefix begins the name of each setting's variable.
 const envPrefix = "OSPREYMOOR_"
 
-// errSettings says that a setting is missing, unknown or contradicts another.
+// errSettings means that a setting is missing, unknown, wrong or contradicts another. Its errors
+// name the flag, the variable and the remedy.
 const errSettings = errors.ConstError("bad settings")
 
-// Exit codes.
+// Exit codes: 2 is for what the caller of the command must correct.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -38,13 +43,13 @@
 	Standin standinCommand `cmd:"" hidden:"" help:"Run a stand-in of the platform, an engine or a service."`
 }
 
-// output is where a command prints.
+// output is where a command prints: results, and errors that do not end it.
 type output struct {
 	io.Writer
 	errors io.Writer
 }
 
-// hangUps takes SIGHUP, which would end a process that does not ask for it.
+// hangUps receives SIGHUP, which would end a process that does not ask for it.
 var hangUps = make(chan os.Signal, 1)
 
 // Main runs one command and returns the process's exit code.
@@ -81,6 +86,7 @@
 	return exitOK
 }
 
+// fail prints an error and returns its exit code.
 func fail(errOut io.Writer, err error) int {
 	_, _ = fmt.Fprintf(errOut, "ospreymoor: %s\n", err)
 	if errors.Is(err, errSettings) {
@@ -89,9 +95,11 @@
 	return exitFailed
 }
 
-// checkVariables finds variables with our prefix that name no setting: they are misspelt.
+// checkVariables is the error of the first variable with envPrefix that names no setting: it is
+// misspelt.
 func checkVariables(app *kong.Application) error {
 	known := map[string]bool{}
+	// The visit can't fail: its function returns no error of its own.
 	_ = kong.Visit(app, func(node kong.Visitable, next kong.Next) error {
 		if flag, ok := node.(*kong.Flag); ok {
 			for _, name := range flag.Envs {
@@ -109,6 +117,7 @@
 	return nil
 }
 
+// settingsError is an errSettings with its own message.
 func settingsError(format string, args ...any) error {
 	return errors.WithType(errors.Errorf(format, args...), errSettings)
 }
@@ -118,7 +127,7 @@
 	return settingsError("--%s (%s) is missing: %s", flag, variable(flag), remedy)
 }
 
-// wrong is the error of a setting whose value can't be.
+// wrong is the error of a setting whose value can't be used.
 func wrong(flag string, value any, remedy string) error {
 	return settingsError("--%s (%s) is %v: %s", flag, variable(flag), value, remedy)
 }
--- a/internal/cmd/dev.go
+++ b/internal/cmd/dev.go
@@ -22,11 +22,11 @@
 	Platform bool `name:"platform" help:"Show the path on the users' platform, on stand-ins of it."`
 }
 
-// devStartTime bounds the time until all models are loaded.
-const devStartTime = 60 * time.Second
-
-// Times of the engine stand-ins.
 const (
+	// devStartTime bounds the time until all models are loaded: 60 s, chosen, not measured.
+	devStartTime = 60 * time.Second
+	// devFirstToken and devTokenTime are the engine stand-ins' times to the first token and between
+	// tokens: 20 ms and 5 ms, chosen, not measured.
 	devFirstToken = 20 * time.Millisecond
 	devTokenTime  = 5 * time.Millisecond
 )
--- a/internal/cmd/report_burn.go
+++ b/internal/cmd/report_burn.go
@@ -15,7 +15,7 @@
 
 // ospreymoor report burn --token TOKEN [--box URL] [--format table|json|svg]
 //
-// Adds up the counters of all boxes that answer, and of those that others keep.
+// Adds up the counters of all boxes that answer, and of those whose counters others keep.
 type reportBurnCommand struct {
 	operatorFlags
 	Format string `name:"format" default:"table" enum:"table,json,svg" help:"table, json or svg (a picture)."`
@@ -43,6 +43,7 @@
 	}
 }
 
+// printBurn prints the report as a table.
 func printBurn(out output, report *ospreymoorv1.GetBurnResponse) error {
 	_, _ = fmt.Fprintf(out, "since %s, from %d boxes", report.GetSince().AsTime().Format("2006-01-02 15:04"), len(report.GetBoxes()))
 	if missing := report.GetMissing(); len(missing) > 0 {
@@ -60,6 +61,7 @@
 	return table.Flush()
 }
 
+// share is a part of a whole in percent, a dash if the whole is nothing.
 func share(part, whole uint64) string {
 	if whole == 0 {
 		return "-"
@@ -69,7 +71,7 @@
 
 func percent(f float64) string { return fmt.Sprintf("%.1f%%", 100*f) }
 
-// reasons lists refusals by reason, most first.
+// reasons lists refusals by reason, the most frequent first.
 func reasons(refused map[string]uint64) string {
 	if len(refused) == 0 {
 		return "0"
--- a/internal/cmd/report_burn_picture.go
+++ b/internal/cmd/report_burn_picture.go
@@ -8,7 +8,7 @@
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
 )
 
-// The picture's size in pixels.
+// Sizes of the picture in pixels, chosen by eye.
 const (
 	pictureHeight  = 420
 	pictureBar     = 36
@@ -42,6 +42,7 @@
 	return picture.Render(chart.SVG, out)
 }
 
+// burnBar is the bar of one model or service.
 func burnBar(line *ospreymoorv1.BurnLine) chart.Value {
 	share := 0.0
 	if line.GetRequests() > 0 {
--- a/internal/cmd/version.go
+++ b/internal/cmd/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// version is the release; CHANGELOG.md tells what each has brought.
+// version is the release; CHANGELOG.md lists the changes of each.
 const version = "0.1.0"
 
 // ospreymoor version
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,4 +1,9 @@
-// Package dev runs a whole small fleet in one process, on loopback.
+// Package dev runs a whole small fleet in one process, on loopback, for `ospreymoor dev` and for
+// benchmarks of the data path.
+//
+// It owns the fleet's size, its customers' tokens and the requests of the trial. It runs the native
+// way: real boxes of internal/box on stand-ins of internal/standin. `ospreymoor dev --platform` shows
+// `node` on platform/standin instead and does not use this package.
 package dev
 
 import (
@@ -22,57 +27,62 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// The size of the fleet.
+// The size of the fleet: chosen, not measured.
 const (
 	halls          = 2
 	boxesPerHall   = 2
 	enginesPerHall = 2
-	engineMemory   = 160 << 30
-	engineSlots    = 8
-	// drainNotice is short: there is no balancer that has to notice.
+	// engineMemory is 160 GiB, in bytes.
+	engineMemory = 160 << 30
+	// engineSlots is the number of requests at full speed.
+	engineSlots = 8
+	// drainNotice is short, 100 ms, because no balancer has to notice.
 	drainNotice = 100 * time.Millisecond
 )
 
-// Operators' tokens of the example customers.
+// operatorTokens are the operators' tokens of the example customers.
 var operatorTokens = map[string]string{
 	"masolatkereso": "masolatkereso-operator",
 	"senvang":       "senvang-operator",
 }
 
-// Options change what the stand-ins are like.
+// Options describe the stand-ins.
 type Options struct {
-	// FirstToken and TokenTime are the engines' times.
+	// FirstToken and TokenTime are the engines' times to the first token and between tokens.
 	FirstToken time.Duration
 	TokenTime  time.Duration
-	// Slots of each engine; 0 takes 8.
+	// Slots of each engine; 0 takes 8. Only benchmarks set it.
 	Slots int
-	Log   *zap.Logger
+	// Log takes the boxes' log lines.
+	Log *zap.Logger
 }
 
-// Fleet is everything that runs.
+// Fleet is the running fleet.
 type Fleet struct {
 	options  Options
 	log      *zap.Logger
 	platform *standin.Platform
-	url      string
-	servers  []*http.Server
-	boxes    []*runningBox
-	engines  map[string]*standin.Engine
-	// addresses of the engines.
+	// url of the platform.
+	url     string
+	servers []*http.Server
+	boxes   []*runningBox
+	engines map[string]*standin.Engine
+	// addresses of the engines, by id.
 	addresses map[string]string
 	services  map[string]*standin.Service
 }
 
-// runningBox is one entry box with the way to stop it.
+// runningBox is one entry box with its id, the address callers use, and the way to stop it.
 type runningBox struct {
 	*box.Box
 	id      string
 	address string
 	stop    context.CancelFunc
+	// stopped is closed when the box has drained and returned.
 	stopped chan struct{}
 }
 
-// Start runs the fleet; nothing is in force yet.
+// Start starts the fleet; no bundle is in force yet.
 func Start(options Options) (*Fleet, error) {
 	if options.Slots == 0 {
 		options.Slots = engineSlots
@@ -112,7 +122,7 @@
 	}
 	stopping.Wait()
 	for _, server := range f.servers {
-		_ = server.Close()
+		_ = server.Close() // The process ends next; nothing depends on the listener.
 	}
 }
 
@@ -133,6 +143,7 @@
 `, f.boxes[0].address)
 }
 
+// startHall starts a hall's engines and services, then its boxes.
 func (f *Fleet) startHall(hall string) error {
 	for i := 1; i <= enginesPerHall; i++ {
 		if err := f.startEngine(hall, fmt.Sprintf("%s-engine-%d", hall, i)); err != nil {
@@ -157,6 +168,7 @@
 	return nil
 }
 
+// startEngine starts an engine and puts it on the box list.
 func (f *Fleet) startEngine(hall, id string) error {
 	engine := standin.NewEngine(standin.EngineConfig{
 		Memory:     engineMemory,
@@ -185,6 +197,7 @@
 	return nil
 }
 
+// startBox starts an entry box and puts it on the box list.
 func (f *Fleet) startBox(hall, id string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -209,6 +222,8 @@
 	return nil
 }
 
+// boxConfig has the defaults of `serve`, but for more writes a second to the platform, a bounded
+// drain after a short notice, and a lower move cost: all chosen, not measured.
 func (f *Fleet) boxConfig(hall, id, peerAddress string) box.Config {
 	operators := map[string]string{}
 	for customer, token := range operatorTokens {
@@ -244,6 +259,7 @@
 	}
 	server := standin.NewServer(handler)
 	f.servers = append(f.servers, server)
+	// Serve returns when Stop closes the server, always with an error that means nothing more.
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
--- a/internal/dev/try_out.go
+++ b/internal/dev/try_out.go
@@ -18,11 +18,12 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// settlePause is the pause between two looks at whether something has come about.
-const settlePause = 100 * time.Millisecond
+// retryPause is the pause before a call that failed is tried again: 100 ms, chosen, not measured.
+const retryPause = 100 * time.Millisecond
 
 // RollExamples signs the example bundles off, rolls them, and waits until each model answers.
 func (f *Fleet) RollExamples(ctx context.Context) error {
+	var rolled []*bundle.Bundle
 	for _, text := range [][]byte{examples.Masolatkereso, examples.SenVang} {
 		b, err := bundle.Parse("example", text)
 		if err != nil {
@@ -31,12 +32,9 @@
 		if err := f.roll(ctx, b, text); err != nil {
 			return err
 		}
+		rolled = append(rolled, b)
 	}
-	for _, text := range [][]byte{examples.Masolatkereso, examples.SenVang} {
-		b, err := bundle.Parse("example", text)
-		if err != nil {
-			return err
-		}
+	for _, b := range rolled {
 		if err := f.awaitModels(ctx, b); err != nil {
 			return err
 		}
@@ -83,7 +81,7 @@
 	return nil
 }
 
-// Callers' tokens of the example customers.
+// callerTokens are tokens of callers of the example customers.
 var callerTokens = map[string]string{
 	"masolatkereso": "masolatkereso-writer",
 	"senvang":       "senvang-kiosks",
@@ -100,6 +98,7 @@
 	return nil
 }
 
+// tryModel streams one answer of an adapter and checks that it is whole.
 func (f *Fleet) tryModel(ctx context.Context, out io.Writer) error {
 	client := ospreymoorv1connect.NewInferenceServiceClient(http.DefaultClient, f.base(1))
 	request := &ospreymoorv1.GenerateRequest{Model: "wayfinding", Adapter: "phu-quoc", Prompt: "from desk 4 to gate 7", MaxTokens: 8}
@@ -124,6 +123,7 @@
 	return nil
 }
 
+// tryService sends one call to a plain service.
 func (f *Fleet) tryService(ctx context.Context, out io.Writer) error {
 	answer, err := f.call(ctx, 0, http.MethodGet, "/services/portal/reports/17", "", "")
 	_, _ = fmt.Fprintf(out, "plain service: %s", answer)
@@ -148,6 +148,7 @@
 	return nil
 }
 
+// call sends a plain-service call to the box of an index, with a request key if it has one.
 func (f *Fleet) call(ctx context.Context, box int, method, path, key, body string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, method, f.base(box)+path, strings.NewReader(body))
 	if err != nil {
@@ -169,15 +170,18 @@
 	return string(answer), err
 }
 
+// base is the URL of the box of an index.
 func (f *Fleet) base(box int) string { return "http://" + f.boxes[box].address }
 
+// withToken is a message with a caller's or operator's token.
 func withToken[T any](token string, message *T) *connect.Request[T] {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+token)
 	return request
 }
 
-// until tries again and again until do succeeds or ctx ends.
+// until retries do after a fixed pause until it succeeds or ctx ends; then it returns do's last
+// error. The pause does not grow: all of it runs on loopback for a minute at most.
 func until(ctx context.Context, do func() error) error {
 	for {
 		err := do()
@@ -187,7 +191,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Annotate(err, "still failing when the time was over")
-		case <-time.After(settlePause):
+		case <-time.After(retryPause):
 		}
 	}
 }
