--- a/pkg/claims/claims.go
+++ b/pkg/claims/claims.go
@@ -45,7 +45,7 @@
 	Digest string `json:"d"`
 	// Upstream that the request goes to.
 	Upstream string `json:"u"`
-	// RequestID is the id under which the upstream knows it.
+	// RequestID is its id at the upstream.
 	RequestID string `json:"r"`
 	// Incarnation of the upstream as it was known then; empty for plain services.
 	Incarnation string `json:"i,omitempty"`
@@ -85,9 +85,9 @@
 	return &Claims{config: config, queues: map[string]*queue{}}
 }
 
-// Claim claims a customer's key. It returns the claim that stands: the caller may send the
+// Claim claims a customer's key. It returns the claim in force: the caller may send the
 // request if and only if the claim's RequestID is its own. After an error the caller may not send
-// it; ErrNotClaimed leaves open whether the claim stands.
+// it; ErrNotClaimed leaves open whether the claim is in force.
 func (c *Claims) Claim(ctx context.Context, customer, key string, claim Claim) (Claim, error) {
 	bucket, err := c.checkedBucket(key)
 	if err != nil {
--- a/pkg/claims/shards.go
+++ b/pkg/claims/shards.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// commit writes a group of claims with one swap and hands each the claim that stands. A shard is
+// commit writes a group of claims with one swap and hands each the claim in force. A shard is
 // made only above the floor. Of other causes than ErrTooOld and ErrFull only the text goes on.
 func (c *Claims) commit(bucket int64, key string, group []*pending) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/pkg/placement/reachable.go
+++ b/pkg/placement/reachable.go
@@ -1,7 +1,7 @@
 package placement
 
 // Make before break: a replica may go only while another one keeps its unit reachable. That one
-// must be confirmed by its engine, be known to the engine's controller as one that stays, and have
+// must be confirmed by its engine, be in the plan that the engine's controller follows, and have
 // settled at all boxes. The controllers apply the same rule to each unload (mayUnload in
 // internal/box), with what they know then.
 
@@ -36,8 +36,8 @@
 	return false
 }
 
-// confirmedOn reports whether a usable engine has confirmed a whole replica, its controller knows
-// that the replica shall stay, and the replica has settled.
+// confirmedOn reports whether a usable engine has confirmed a whole replica, its controller
+// follows a plan that has the replica, and the replica has settled.
 func (b *builder) confirmedOn(u *unit, e *engine) bool {
 	return e.Condition == Usable && e.Plan >= u.on[e.ID] && e.holds(u) && b.settled(u, e)
 }
--- a/pkg/records/records.go
+++ b/pkg/records/records.go
@@ -5,7 +5,7 @@
 // with the process. The package owns the comparison of generations; it relies on nothing.
 //
 // It belongs to the native way, `ospreymoor serve`, where boxes fetch records from each other as
-// well as from the store. On `ospreymoor node`, pkg/mirror copies the store's keys, watches and all.
+// well as from the store. On `ospreymoor node`, pkg/mirror keeps a copy of the store's keys instead.
 package records
 
 import (
