--- a/pkg/claims/shards.go
+++ b/pkg/claims/shards.go
@@ -51,26 +51,26 @@
 func (c *Claims) enqueue(bucket int64, key string, p *pending) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b, ok := c.queues[key]
+	q, ok := c.queues[key]
 	if !ok {
-		b = &queue{}
-		c.queues[key] = b
+		q = &queue{}
+		c.queues[key] = q
 	}
-	b.waiting = append(b.waiting, p)
-	if !b.busy {
-		b.busy = true
-		go c.writeBatches(bucket, key, b)
+	q.waiting = append(q.waiting, p)
+	if !q.busy {
+		q.busy = true
+		go c.writeBatches(bucket, key, q)
 	}
 }
 
 // writeBatches commits what waits for one document, batch after batch, until nothing waits.
-func (c *Claims) writeBatches(bucket int64, key string, b *queue) {
+func (c *Claims) writeBatches(bucket int64, key string, q *queue) {
 	for {
 		c.mu.Lock()
-		group := b.waiting
-		b.waiting = nil
+		group := q.waiting
+		q.waiting = nil
 		if len(group) == 0 {
-			b.busy = false
+			q.busy = false
 			delete(c.queues, key)
 			c.mu.Unlock()
 			return
--- a/pkg/placement/room.go
+++ b/pkg/placement/room.go
@@ -65,11 +65,11 @@
 
 // carriedDemand is the demand that one replica of each unit carries.
 func (b *builder) carriedDemand(units []*unit) float64 {
-	worth := 0.0
+	demand := 0.0
 	for _, u := range units {
-		worth += u.demandPerReplica()
+		demand += u.demandPerReplica()
 	}
-	return worth
+	return demand
 }
 
 // placeFirst adds the first replica of u on the engine where least has to give way. It reports
