--- a/internal/cluster/messages_test.go
+++ b/internal/cluster/messages_test.go
@@ -12,12 +12,10 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/residency"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestCluster(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Cluster")
-}
+func TestCluster(t *testing.T) { spectest.Run(t, "Cluster") }
 
 func asJSON(value any) string {
 	text, err := json.Marshal(value)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -3,18 +3,17 @@
 import (
 	"net/http"
 	"net/http/httptest"
-	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("a drain", func() {
 	It("accepts requests until the balancer has noticed, then ends connections, then refuses", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			answered := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 			f := NewFront(answered, nil)
 			ask := func() *httptest.ResponseRecorder {
@@ -42,8 +41,7 @@
 	})
 
 	It("shortens its phases to a quarter and a half of a short grace time", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			f := NewFront(http.NotFoundHandler(), nil)
 			begun := time.Now()
 			f.Drain(time.Second)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -24,15 +23,10 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 	"ospreymoor.example/ospreymoor/pkg/residency"
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestGateway(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Gateway")
-}
+func TestGateway(t *testing.T) { spectest.Run(t, "Gateway") }
 
 // fate is how one attempt ends at a fake upstream.
 type fate int
@@ -181,8 +175,7 @@
 
 var _ = Describe("a gateway", func() {
 	It("runs what may run once at most once, and never what it answered 503", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			for seed := range uint64(40) {
 				random := rand.New(rand.NewPCG(seed, 3))
 				f := newFixture(func(string, int) fate { return fate(random.IntN(int(fates))) }, 1)
@@ -207,8 +200,7 @@
 	})
 
 	It("joins resumable streams cleanly, under the first upstream's head, or breaks them off", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			for seed := range uint64(60) {
 				random := rand.New(rand.NewPCG(seed, 4))
 				f := newFixture(func(string, int) fate { return fate(random.IntN(int(fates))) }, 1)
@@ -227,8 +219,7 @@
 	})
 
 	It("sends a request again only within the route's attempts", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			f := newFixture(func(string, int) fate { return brokenBeforeHead }, 1)
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(f.upstreams.runs["r"]).To(Equal(2))
@@ -245,8 +236,7 @@
 	})
 
 	It("gives its final answer at the route's timeout, and gives upstreams the time that is left", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			f := newFixture(func(string, int) fate { return hangs }, 1)
 			begun := time.Now()
 			got := f.ask(context.Background(), "r", "/once/x", "")
@@ -257,8 +247,7 @@
 	})
 
 	It("refuses at once what no engine can hold in time, with a retry-after", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			f := newFixture(func(string, int) fate { return whole }, 1)
 			begun := time.Now()
 			got := f.ask(context.Background(), "r", "/stream/x", "nowhere")
@@ -299,8 +288,7 @@
 	})
 
 	It("does not count as a retry what never reached an upstream", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			f := newFixture(func(_ string, n int) fate {
 				if n == 1 {
 					return notSent
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,12 +14,10 @@
 	"go.uber.org/zap/zapcore"
 
 	"ospreymoor.example/ospreymoor/internal/logging"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestLogging(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Logging")
-}
+func TestLogging(t *testing.T) { spectest.Run(t, "Logging") }
 
 // blockedWriter takes nothing until it is opened.
 type blockedWriter struct {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -20,12 +20,10 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/residency"
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestNode(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Node")
-}
+func TestNode(t *testing.T) { spectest.Run(t, "Node") }
 
 // largeFleet is more boxes than exchange in a full mesh, in halls of ten.
 type largeFleet struct {
--- a/internal/orderlease/handover_test.go
+++ b/internal/orderlease/handover_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -17,17 +16,12 @@
 
 	"ospreymoor.example/ospreymoor/internal/peer"
 	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 const orderGap = 400 * time.Millisecond
 
-var suiteT *testing.T
-
-func TestOrderLease(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Order lease")
-}
+func TestOrderLease(t *testing.T) { spectest.Run(t, "Order lease") }
 
 // takeover is a handover, and whether the former holder's address is known.
 type takeover struct {
@@ -130,8 +124,7 @@
 	})
 
 	It("passes on the waits that it is under itself", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			next := newHandover(Config{Name: "new", OrderGap: orderGap, Log: zap.NewNop()}, 300*time.Millisecond)
 			next.started = time.Now().Add(-time.Hour)
 			next.waits.byEngine = map[string]time.Time{"e1": time.Now().Add(orderGap / 2)}
--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -5,8 +5,6 @@
 	"errors"
 	"net"
 	"sync/atomic"
-	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -18,6 +16,7 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/residency"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 // contender is a box on a store that can be cut off from it.
@@ -63,8 +62,7 @@
 
 // inBubble runs f on a lease in a bubble of its own time.
 func inBubble(f func(c *contender, store kv.Store)) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
+	spectest.Bubble(func() {
 		store := kv.NewMemory().Store()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
--- a/internal/storeview/storeview_test.go
+++ b/internal/storeview/storeview_test.go
@@ -18,15 +18,10 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestStoreView(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Store view")
-}
+func TestStoreView(t *testing.T) { spectest.Run(t, "Store view") }
 
 // fixture is a view on a store in memory, and what it handed on.
 type fixture struct {
@@ -140,8 +135,7 @@
 
 var _ = Describe("the registration of a box", func() {
 	It("is listed, renewed, made anew when it is lost, and ended with the box", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			registration := NewRegistration(Platform{Store: store, OwnPrefix: "own/"}, cluster.Box{Name: "b", Address: "b:1"}, zap.NewNop())
 			ctx, cancel := context.WithCancel(context.Background())
@@ -166,8 +160,7 @@
 	})
 
 	It("is tried again when the store fails, with one log line", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			memory := kv.NewMemory().Store()
 			store := memory
 			failing := true
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -12,12 +12,10 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/internal/transport"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestTransport(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Transport")
-}
+func TestTransport(t *testing.T) { spectest.Run(t, "Transport") }
 
 func post(address string) *http.Request {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+"/", strings.NewReader("text"))
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -2,27 +2,21 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/admission"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestAdmission(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Admission")
-}
+func TestAdmission(t *testing.T) { spectest.Run(t, "Admission") }
 
 // surge has a hostile customer ask for far more than there is, beside a modest one, and
 // returns the modest one's refusals. One box has 8 slots; a request takes a second.
 func surge(hostile, modest string) (refused, asked int) {
-	synctest.Test(suiteT, func(*testing.T) {
+	spectest.Bubble(func() {
 		const slots = 8
 		controller := admission.New(nil)
 		admit := func(customer string) bool {
--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -1,14 +1,13 @@
 package admission_test
 
 import (
-	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/admission"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("A limit", func() {
@@ -34,8 +33,7 @@
 	})
 
 	It("of requests a second is shared by the boxes, and follows their number", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			boxes := 2
 			controller := admission.New(func() int { return boxes })
 			admitted := func() int {
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -11,23 +10,10 @@
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestDispatch(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Dispatch")
-}
-
-// bubble runs a spec on the runtime's fake clock.
-func bubble(spec func()) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
-		spec()
-	})
-}
+func TestDispatch(t *testing.T) { spectest.Run(t, "Dispatch") }
 
 func engines(n int) []*fleet.State {
 	directory := fleet.New()
--- a/pkg/dispatch/ejection_test.go
+++ b/pkg/dispatch/ejection_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 // ejections follows how long e0, the only upstream with free slots, is left out.
@@ -49,7 +50,7 @@
 
 var _ = Describe("outlier ejection", func() {
 	It("doubles with each ejection up to its bound, and is short again after a while without failures", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			e := newEjections()
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 				e.fail(12)
@@ -62,7 +63,7 @@
 	})
 
 	It("needs several outcomes", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			e := newEjections()
 			e.fail(3)
 			Expect(e.ejected()).To(BeFalse())
--- a/pkg/dispatch/observations_test.go
+++ b/pkg/dispatch/observations_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("observations", func() {
@@ -28,7 +29,7 @@
 	})
 
 	It("name a prompt that was sent again to the same engine only once in a while", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			send := func() int {
 				choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need("x"), engines(1))
--- a/pkg/dispatch/prediction_test.go
+++ b/pkg/dispatch/prediction_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 // serve sends one request to the only engine and has its first token come after a time.
@@ -23,7 +24,7 @@
 
 var _ = Describe("predictions", func() {
 	It("follow the first tokens that came, within bounds", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			// Without blocks no prefix is cached: every request has to be read in full.
 			request := dispatch.Requirements{Model: "m", PromptTokens: 10_000, AnswerTokens: 10, CacheTokens: 1_000_000}
@@ -41,7 +42,7 @@
 	})
 
 	It("leave out first tokens that were to come at once", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			request := dispatch.Requirements{Model: "m", PromptTokens: 1, AnswerTokens: 10, CacheTokens: 1_000_000}
 			late := func(time.Duration) time.Duration { return time.Second }
--- a/pkg/dispatch/unresponsive_test.go
+++ b/pkg/dispatch/unresponsive_test.go
@@ -7,11 +7,12 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("an upstream that does not answer", func() {
 	It("is unresponsive after several failures in a row over a while, until one succeeds", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			Expect(tracker.Unresponsive("e0")).To(BeFalse())
 			for range 5 {
@@ -28,7 +29,7 @@
 	})
 
 	It("is so for peers that got the failures as observations, and no longer after a while without", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			failures := dispatch.Observations{Outcomes: map[string]dispatch.Outcomes{"e0": {Failed: 2}}}
 			tracker.MergeObservations(failures)
--- a/pkg/eventstream/eventstream_test.go
+++ b/pkg/eventstream/eventstream_test.go
@@ -11,12 +11,10 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/eventstream"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestEventstream(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Eventstream")
-}
+func TestEventstream(t *testing.T) { spectest.Run(t, "Eventstream") }
 
 const whole = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweight-versions:3\nid:3\ndata: c\n\n"
 
--- a/pkg/residency/controller_test.go
+++ b/pkg/residency/controller_test.go
@@ -7,8 +7,6 @@
 	"math/rand/v2"
 	"slices"
 	"sync"
-	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -18,6 +16,7 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 	"ospreymoor.example/ospreymoor/pkg/residency"
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 // Sizes of the engines in these specs.
@@ -243,8 +242,7 @@
 
 var _ = Describe("a controller", func() {
 	It("pages adapters and loads models, none twice at once and never more than fits", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			served, asked := t.live(2*time.Minute, 100*time.Millisecond)
 			Expect(t.overfull()).To(BeEmpty())
@@ -261,8 +259,7 @@
 
 	It("keeps to what fits while orders are lost, unanswered or carried out late, and the list lags", func() {
 		for seed := range uint64(12) {
-			synctest.Test(suiteT, func(*testing.T) {
-				defer GinkgoRecover()
+			spectest.Bubble(func() {
 				t := newTestFleet(seed, 0.3)
 				t.live(2*time.Minute, time.Duration(seed)*300*time.Millisecond)
 				Expect(t.overfull()).To(BeEmpty(), "seed %d", seed)
@@ -271,8 +268,7 @@
 	})
 
 	It("makes room for an adapter without delay", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			ensure := func(adapter string) time.Duration {
 				begun := time.Now()
@@ -295,8 +291,7 @@
 	})
 
 	It("pages an adapter on another engine when one takes long, and prefers those that answer", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			t.engines["e1"].models["m0"] = nil
 			t.list()
@@ -340,8 +335,7 @@
 	})
 
 	It("does not count the replicas of engines that do not answer", func() {
-		synctest.Test(suiteT, func(*testing.T) {
-			defer GinkgoRecover()
+		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			t.controller.Unresponsive = func(upstream string) bool { return upstream == "e0" }
 			_, err := t.controller.Ensure(context.Background(), "s", "m0", "a0")
--- a/pkg/residency/plan_test.go
+++ b/pkg/residency/plan_test.go
@@ -9,15 +9,10 @@
 	"pgregory.net/rapid"
 
 	"ospreymoor.example/ospreymoor/pkg/residency"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestResidency(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Residency")
-}
-
-var suiteT *testing.T
+func TestResidency(t *testing.T) { spectest.Run(t, "Residency") }
 
 func planInput() residency.PlanInput {
 	return residency.PlanInput{Megabytes: 220, MoveCost: 0.03, Moves: 4, StoreLoads: 4}
@@ -117,7 +112,7 @@
 	})
 
 	It("never overfills an engine nor loses a model, whatever is asked", func() {
-		rapid.Check(suiteT, func(t *rapid.T) {
+		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			in := planInput()
 			models := rapid.IntRange(1, 12).Draw(t, "models")
 			for n := range models {
--- a/pkg/routes/routes_test.go
+++ b/pkg/routes/routes_test.go
@@ -7,12 +7,10 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestRoutes(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Routes")
-}
+func TestRoutes(t *testing.T) { spectest.Run(t, "Routes") }
 
 var _ = Describe("a table", func() {
 	table := routes.New(3, []routes.Route{
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -4,30 +4,16 @@
 	"fmt"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/routing"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestRouting(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Routing")
-}
-
-// bubble runs a spec on the runtime's fake clock.
-func bubble(spec func()) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
-		spec()
-	})
-}
+func TestRouting(t *testing.T) { spectest.Run(t, "Routing") }
 
 // candidates returns engines of two slots with so many requests running.
 func candidates(running ...int) []routing.Candidate {
@@ -72,7 +58,7 @@
 	})
 
 	It("counts what was sent since a report, by this box and by peers", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			list := candidates(0, 0)
 			list[0].PeersSent = 1
 			time.Sleep(time.Millisecond)
@@ -84,7 +70,7 @@
 	})
 
 	It("takes other boxes to be as busy as itself where reports are stale", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			list := candidates(9, 0)
 			list[0].Boxes, list[1].Boxes = 4, 4
 			router.Sent("m", "", "e1")
@@ -112,7 +98,7 @@
 	})
 
 	It("avoids an engine that failed for a while, unless there is no other", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			router.Failed("e0", time.Second)
 			Expect(picked(router, "", candidates(0, 9))).To(Equal(map[string]int{"e1": 100}))
 			Expect(picked(router, "", candidates(0))).To(Equal(map[string]int{"e0": 100}))
@@ -149,7 +135,7 @@
 	}
 
 	It("allows a share of requests and a few a second beside", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			budget := routing.NewRetryBudget(0.1)
 			// The floor's burst.
 			Expect(allowed(budget, 100)).To(Equal(10))
@@ -163,7 +149,7 @@
 	})
 
 	It("saves up a few retries only", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			budget := routing.NewRetryBudget(0.1)
 			for range 1000 {
 				budget.Request()
