--- a/pkg/residency/plan_test.go
+++ b/pkg/residency/plan_test.go
@@ -111,6 +111,58 @@
 		Expect(residency.Plan(in)[0].Model).To(Equal("a"))
 	})
 
+	It("prefers a hall that has no replica of a busy model, by a quarter of the model's demand", func() {
+		in := planInput()
+		in.Moves = 1
+		in.Engines = []residency.PlanEngine{
+			{ID: "e1", Hall: "z1", Usable: true, Models: []string{"busy"}},
+			{ID: "e2", Hall: "z1", Usable: true},
+			{ID: "e3", Hall: "z2", Usable: true},
+		}
+		in.Models = []residency.PlanModel{planModel("busy", 1)}
+		moves := residency.Plan(in)
+		Expect(moves).To(HaveLen(1))
+		Expect(moves[0].Engine).To(Equal("e3"))
+		// The squared work falls from 1 to a half, beside 0.25 for the hall, less 0.35 of the move's cost.
+		Expect(moves[0].Benefit).To(BeNumerically("~", 0.5+0.25-0.35*0.03, 1e-12))
+		By("giving nothing for a hall that has one")
+		in.Engines[2].Hall = "z1"
+		moves = residency.Plan(in)
+		Expect(moves).To(HaveLen(1))
+		Expect(moves[0].Benefit).To(BeNumerically("~", 0.5-0.35*0.03, 1e-12))
+		By("where the model's work alone is not worth a move")
+		in.Models[0].Demand = 0.1
+		Expect(residency.Plan(in)).To(BeEmpty())
+		in.Engines[2].Hall = "z2"
+		moves = residency.Plan(in)
+		Expect(moves).To(HaveLen(1))
+		Expect(moves[0].Engine).To(Equal("e3"))
+		Expect(moves[0].Benefit).To(BeNumerically("~", 0.005+0.025-0.35*0.03, 1e-12))
+	})
+
+	It("takes a quarter of its demand off for evicting a model's last replica in a hall", func() {
+		in := planInput()
+		in.Megabytes, in.Moves = 72, 1
+		in.Engines = []residency.PlanEngine{
+			{ID: "e1", Hall: "z1", Usable: true, Models: []string{"busy"}},
+			{ID: "e2", Hall: "z2", Usable: true, Models: []string{"other"}},
+			{ID: "e3", Hall: "z2", Models: []string{"other"}},
+		}
+		in.Models = []residency.PlanModel{planModel("busy", 1), planModel("other", 0.4)}
+		// The squared work is 1, 0.04 and 0.04 before, and 0.25, 0.25 and 0.16 after the move.
+		const worth = 1.08 - 0.66 + 0.25 - 0.03
+		moves := residency.Plan(in)
+		Expect(moves).To(HaveLen(1))
+		Expect(moves[0].Engine).To(Equal("e2"))
+		Expect(moves[0].Evict).To(Equal([]string{"other"}))
+		Expect(moves[0].Benefit).To(BeNumerically("~", worth, 1e-12))
+		in.Engines[2].Hall = "z1"
+		moves = residency.Plan(in)
+		Expect(moves).To(HaveLen(1))
+		Expect(moves[0].Engine).To(Equal("e2"))
+		Expect(moves[0].Benefit).To(BeNumerically("~", worth-0.25*0.4, 1e-12))
+	})
+
 	It("never overfills an engine nor loses a model, whatever is asked", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			in := planInput()
