--- a/pkg/residency/prefetch_test.go
+++ b/pkg/residency/prefetch_test.go
@@ -13,11 +13,11 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// prefetchFleet is two engines: e0 holds m0 and m1, e1 holds m0. No move is worth its cost, so that
+// prefetchFleet is two engines with so many places for adapters: e0 holds m0 and m1, e1 holds m0. No move is worth its cost, so that
 // all orders are prefetches.
-func prefetchFleet() *testFleet {
+func prefetchFleet(slots int) *testFleet {
 	t := fleetOf(&routes.Engines{
-		Slots: 8, Megabytes: engineMegabytes, AdapterSlots: adapterSlots, LoadsPerSecond: 2, DiskMegabytes: 500,
+		Slots: 8, Megabytes: engineMegabytes, AdapterSlots: slots, LoadsPerSecond: 2, DiskMegabytes: 500,
 		Models: []routes.Model{testModel("m0", "a", "b", "c", "d"), testModel("m1", "v", "w")},
 	}, map[string][]string{"e0": {"m0", "m1"}, "e1": {"m0"}})
 	t.controller.MoveCost = 1000
@@ -44,7 +44,7 @@
 var _ = Describe("the prefetch of adapters", func() {
 	It("loads those that no engine has, first of the models most asked for, and leaves a place free", func() {
 		spectest.Bubble(func() {
-			t := prefetchFleet()
+			t := prefetchFleet(adapterSlots)
 			sent := t.noteOrders()
 			t.run(10*time.Second, "m1")
 			Expect(prefetched(sent(), "e0")).To(Equal([]string{"m1/v", "m1/w"}))
@@ -55,7 +55,7 @@
 
 	It("goes by the models' names where none is asked for", func() {
 		spectest.Bubble(func() {
-			t := prefetchFleet()
+			t := prefetchFleet(adapterSlots)
 			sent := t.noteOrders()
 			t.run(10 * time.Second)
 			Expect(prefetched(sent(), "e0")).To(Equal([]string{"m0/a", "m0/c"}))
@@ -63,9 +63,20 @@
 		})
 	})
 
+	It("leaves one place free however many there are", func() {
+		spectest.Bubble(func() {
+			for slots := 1; slots <= 5; slots++ {
+				t := prefetchFleet(slots)
+				sent := t.noteOrders()
+				t.run(10 * time.Second)
+				Expect(prefetched(sent(), "e0")).To(HaveLen(slots-1), "%d places", slots)
+			}
+		})
+	})
+
 	It("counts the adapters that an engine's report has, for its places and for those of the others", func() {
 		spectest.Bubble(func() {
-			t := prefetchFleet()
+			t := prefetchFleet(adapterSlots)
 			t.engines["e0"].models["m0"] = []string{"b"}
 			t.engines["e1"].models["m0"] = []string{"a", "c"}
 			sent := t.noteOrders()
@@ -77,7 +88,7 @@
 
 	It("loads at most one at a time on an engine, and does not wait for the other engines", func() {
 		spectest.Bubble(func() {
-			t := prefetchFleet()
+			t := prefetchFleet(adapterSlots)
 			// e0 answers an order only after more than a plan's interval.
 			order := t.controller.Engines.Order
 			t.controller.Engines.Order = func(ctx context.Context, to fleet.Upstream, given residency.Order) (residency.Result, error) {
@@ -102,7 +113,7 @@
 
 	It("leaves alone an engine that leaves, and one that has given no report", func() {
 		spectest.Bubble(func() {
-			t := prefetchFleet()
+			t := prefetchFleet(adapterSlots)
 			report := t.controller.Engines.Report
 			t.controller.Engines.Report = func(ctx context.Context, of fleet.Upstream) (residency.Report, error) {
 				if of.ID == "e1" {
