--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -8,33 +8,40 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ospreymoor.example/ospreymoor/pkg/dispatch"
+	"ospreymoor.example/ospreymoor/pkg/fleet"
 	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// startBox runs one box on a store in memory with a configuration and an upstream.
-func startBox(before func(*Node)) (*Node, kv.Store) {
-	store := kv.NewMemory().Store()
-	for _, key := range []string{"config", "servers/e1"} {
-		_, err := store.Swap(context.Background(), kv.Swap{Key: key, Value: []byte("e1")})
-		Expect(err).NotTo(HaveOccurred())
-	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	Expect(err).NotTo(HaveOccurred())
-	box := New(testConfig("b", "h", listener.Addr().String(), store))
-	Expect(box.Ready()).To(BeFalse())
-	before(box)
-	ctx, stop := context.WithCancel(context.Background())
-	stopped := make(chan struct{})
-	go func() {
-		defer close(stopped)
-		box.Run(ctx, listener)
-	}()
-	DeferCleanup(func() {
-		stop()
-		Eventually(stopped).WithTimeout(3 * time.Second).Should(BeClosed())
-		_ = listener.Close()
+// withBox runs f on a box on a store in memory with a configuration and an upstream, in a bubble.
+// before is called on the box before it runs.
+func withBox(before func(*Node), f func(box *Node, store kv.Store)) {
+	spectest.Bubble(func() {
+		store := kv.NewMemory().Store()
+		for _, key := range []string{"config", "servers/e1"} {
+			_, err := store.Swap(context.Background(), kv.Swap{Key: key, Value: []byte("e1")})
+			Expect(err).NotTo(HaveOccurred())
+		}
+		network := &spectest.Network{}
+		box := New(testConfig("b", "h", "b:1", store, network.Dial))
+		Expect(box.Ready()).To(BeFalse())
+		before(box)
+		ctx, stop := context.WithCancel(context.Background())
+		stopped := make(chan struct{})
+		listener := network.Listen("b:1")
+		go func() {
+			defer close(stopped)
+			box.Run(ctx, listener)
+		}()
+		defer func() {
+			stop()
+			Eventually(stopped).WithTimeout(3 * time.Second).Should(BeClosed())
+			_ = listener.Close()
+			time.Sleep(time.Minute) // What was begun for a term ends with it.
+		}()
+		f(box, store)
 	})
-	return box, store
 }
 
 func mayOrder(box *Node) func() bool {
@@ -46,25 +53,54 @@
 
 var _ = Describe("a box", func() {
 	It("is ready once it has a configuration and knows upstreams, until it leaves", func() {
-		box, _ := startBox(func(*Node) {})
-		Eventually(box.Ready).WithTimeout(3 * time.Second).Should(BeTrue())
-		box.Leave()
-		Expect(box.Ready()).To(BeFalse())
+		withBox(func(*Node) {}, func(box *Node, _ kv.Store) {
+			Eventually(box.Ready).WithTimeout(3 * time.Second).Should(BeTrue())
+			box.Leave()
+			Expect(box.Ready()).To(BeFalse())
+		})
 	})
 
 	It("hands the order lease back when it leaves", func() {
-		box, store := startBox(func(*Node) {})
-		Eventually(mayOrder(box)).WithTimeout(5 * time.Second).Should(BeTrue())
-		box.Leave()
-		Eventually(func() error {
-			_, err := store.Get(context.Background(), "own/leases/orders")
-			return err
-		}).WithTimeout(3 * time.Second).Should(MatchError(kv.ErrNotFound))
-		Expect(mayOrder(box)()).To(BeFalse())
+		withBox(func(*Node) {}, func(box *Node, store kv.Store) {
+			Eventually(mayOrder(box)).WithTimeout(5 * time.Second).Should(BeTrue())
+			box.Leave()
+			Eventually(func() error {
+				_, err := store.Get(context.Background(), "own/leases/orders")
+				return err
+			}).WithTimeout(3 * time.Second).Should(MatchError(kv.ErrNotFound))
+			Expect(mayOrder(box)()).To(BeFalse())
+		})
 	})
 
 	It("never gives orders if it leaves before it runs", func() {
-		box, _ := startBox((*Node).Leave)
-		Consistently(mayOrder(box)).WithTimeout(time.Second).Should(BeFalse())
+		withBox((*Node).Leave, func(box *Node, _ kv.Store) {
+			Consistently(mayOrder(box)).WithTimeout(time.Second).Should(BeFalse())
+		})
+	})
+
+	It("exchanges what it has under way with another box over TCP", func() {
+		store := kv.NewMemory().Store()
+		var boxes []*Node
+		for _, name := range []string{"a", "b"} {
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			Expect(err).NotTo(HaveOccurred())
+			box := New(testConfig(name, "h", listener.Addr().String(), store, (&net.Dialer{}).DialContext))
+			ctx, stop := context.WithCancel(context.Background())
+			stopped := make(chan struct{})
+			go func() {
+				defer close(stopped)
+				box.Run(ctx, listener)
+			}()
+			DeferCleanup(func() {
+				stop()
+				Eventually(stopped).WithTimeout(time.Minute).Should(BeClosed())
+				_ = listener.Close()
+			})
+			boxes = append(boxes, box)
+		}
+		choice := dispatch.Choice{Upstream: &fleet.State{Upstream: fleet.Upstream{ID: "e1"}}}
+		defer boxes[1].Gateway.Loads.Begin(choice, dispatch.Requirements{Service: "s"}).End()
+		running := func() int { return boxes[0].Gateway.Loads.Total("e1").Running }
+		Eventually(running).WithTimeout(time.Minute).Should(Equal(1))
 	})
 })
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -37,9 +37,10 @@
 
 func nodeName(n int) string { return fmt.Sprintf("n%02d", n) }
 
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
+
 // testConfig is a box on a store whose records name upstreams.
-func testConfig(name, hall, address string, store kv.Store) Config {
-	dialer := net.Dialer{Timeout: 200 * time.Millisecond}
+func testConfig(name, hall, address string, store kv.Store, dial dialFunc) Config {
 	return Config{
 		Name: name, Hall: hall, Cores: 0.2, PeerAddress: address,
 		Platform: Platform{
@@ -52,12 +53,28 @@
 			},
 		},
 		Upstreams: gateway.Upstreams{Forget: func(string) {}, Engines: residency.Engines{}},
-		OrderGap:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dialer.DialContext, Log: zap.NewNop(), Set: metrics.NewSet(),
+		OrderGap:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dial, Log: zap.NewNop(), Set: metrics.NewSet(),
 	}
 }
 
+// withLargeFleet runs f on a large fleet in a bubble.
+func withLargeFleet(halls int, f func(*largeFleet)) {
+	spectest.Bubble(func() {
+		fleet := startLargeFleet(halls)
+		defer func() {
+			for _, stop := range fleet.stops {
+				stop()
+			}
+			fleet.stopped.Wait()
+			time.Sleep(time.Minute) // What was begun for a term ends with it.
+		}()
+		f(fleet)
+	})
+}
+
 func startLargeFleet(halls int) *largeFleet {
 	f := &largeFleet{}
+	network := &spectest.Network{}
 	memory := kv.NewMemory().Store()
 	store := memory
 	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
@@ -71,9 +88,9 @@
 	put("config", "1")
 	put("servers/e1", "e1")
 	for n := range halls * hallBoxes {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		Expect(err).NotTo(HaveOccurred())
-		node := New(testConfig(nodeName(n), fmt.Sprint("z", n/hallBoxes), listener.Addr().String(), store))
+		address := nodeName(n) + ":1"
+		listener := network.Listen(address)
+		node := New(testConfig(nodeName(n), fmt.Sprint("z", n/hallBoxes), address, store, network.Dial))
 		ctx, stop := context.WithCancel(context.Background())
 		f.nodes = append(f.nodes, node)
 		f.stops = append(f.stops, stop)
@@ -82,12 +99,6 @@
 			_ = listener.Close()
 		})
 	}
-	DeferCleanup(func() {
-		for _, stop := range f.stops {
-			stop()
-		}
-		f.stopped.Wait()
-	})
 	return f
 }
 
@@ -145,35 +156,36 @@
 
 var _ = Describe("a large fleet", func() {
 	It("has one relay a hall, and every box knows what all have under way", func() {
-		f := startLargeFleet(2)
-		Eventually(f.relays).WithTimeout(8 * time.Second).Should(Equal([]string{"n00", "n10"}))
-		everywhere := func(count int) []int {
-			counts := make([]int, len(f.nodes))
-			for i := range counts {
-				counts[i] = count
+		withLargeFleet(2, func(f *largeFleet) {
+			Eventually(f.relays).WithTimeout(8 * time.Second).Should(Equal([]string{"n00", "n10"}))
+			everywhere := func(count int) []int {
+				counts := make([]int, len(f.nodes))
+				for i := range counts {
+					counts[i] = count
+				}
+				return counts
 			}
-			return counts
-		}
-		var tickets []*dispatch.Ticket
-		for _, node := range []int{0, 3, 3, 10, 17} {
-			tickets = append(tickets, f.begin(node, "e1"))
-		}
-		Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(5)))
-		Consistently(func() []int { return f.running("e1") }).WithTimeout(time.Second).Should(Equal(everywhere(5)))
-		for _, ticket := range tickets[1:] {
-			ticket.End()
-		}
-		Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(1)))
-		By("asking the store from a few boxes only")
-		before := f.watching.Load()
-		time.Sleep(time.Second)
-		Expect(f.watching.Load() - before).To(BeNumerically("<", 3))
-		By("losing a relay")
-		f.stops[10]()
-		Eventually(func() bool { return f.nodes[11].exchange.Members.FollowsRelay() }).WithTimeout(5 * time.Second).Should(BeFalse())
-		lost := f.begin(15, "e1")
-		Eventually(func() int { return f.nodes[4].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
-		Eventually(func() int { return f.nodes[19].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
-		lost.End()
+			var tickets []*dispatch.Ticket
+			for _, node := range []int{0, 3, 3, 10, 17} {
+				tickets = append(tickets, f.begin(node, "e1"))
+			}
+			Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(5)))
+			Consistently(func() []int { return f.running("e1") }).WithTimeout(time.Second).Should(Equal(everywhere(5)))
+			for _, ticket := range tickets[1:] {
+				ticket.End()
+			}
+			Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(1)))
+			By("asking the store from a few boxes only")
+			before := f.watching.Load()
+			time.Sleep(time.Second)
+			Expect(f.watching.Load() - before).To(BeNumerically("<", 3))
+			By("losing a relay")
+			f.stops[10]()
+			Eventually(func() bool { return f.nodes[11].exchange.Members.FollowsRelay() }).WithTimeout(5 * time.Second).Should(BeFalse())
+			lost := f.begin(15, "e1")
+			Eventually(func() int { return f.nodes[4].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
+			Eventually(func() int { return f.nodes[19].Gateway.Loads.Total("e1").Running }).WithTimeout(5 * time.Second).Should(Equal(2))
+			lost.End()
+		})
 	})
 })
