--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -3,28 +3,19 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"sync"
 	"sync/atomic"
-	"testing"
 	"time"
 
-	"github.com/VictoriaMetrics/metrics"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
-	"go.uber.org/zap"
 
-	"ospreymoor.example/ospreymoor/internal/gateway"
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 	"ospreymoor.example/ospreymoor/pkg/kv"
-	"ospreymoor.example/ospreymoor/pkg/residency"
-	"ospreymoor.example/ospreymoor/pkg/routes"
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestNode(t *testing.T) { spectest.Run(t, "Node") }
-
 // largeFleet is more boxes than exchange in a full mesh, in halls of ten.
 type largeFleet struct {
 	nodes    []*Node
@@ -37,26 +28,6 @@
 
 func nodeName(n int) string { return fmt.Sprintf("n%02d", n) }
 
-type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
-
-// testConfig is a box on a store whose records name upstreams.
-func testConfig(name, hall, address string, store kv.Store, dial dialFunc) Config {
-	return Config{
-		Name: name, Hall: hall, Cores: 0.2, PeerAddress: address,
-		Platform: Platform{
-			Store: store, ConfigPrefix: "config", UpstreamPrefix: "servers/", OwnPrefix: "own/",
-			DecodeTable: func(map[string]kv.Record) (*routes.Table, error) {
-				return routes.New(1, nil, nil, routes.Limits{}), nil
-			},
-			DecodeUpstream: func(record kv.Record) (fleet.Upstream, error) {
-				return fleet.Upstream{ID: string(record.Value), Service: "s", Revision: record.Revision}, nil
-			},
-		},
-		Upstreams: gateway.Upstreams{Forget: func(string) {}, Engines: residency.Engines{}},
-		OrderGap:  100 * time.Millisecond, LeaseTTL: 2 * time.Second, Dial: dial, Log: zap.NewNop(), Set: metrics.NewSet(),
-	}
-}
-
 // withLargeFleet runs f on a large fleet in a bubble.
 func withLargeFleet(halls int, f func(*largeFleet)) {
 	spectest.Bubble(func() {
