--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -10,6 +10,7 @@
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("admission", func() {
@@ -34,14 +35,16 @@
 	)
 
 	It("refuses while all engines are busy, and sends to one that is not", func() {
-		f := newFixture(func(string, int) fate { return whole }, 1)
-		busy := dispatch.Load{Running: 1, Prefill: [dispatch.UrgencyLevels]int{100_000}}
-		f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e2": busy, "e3": busy})
-		got := f.ask(context.Background(), "r1", "/stream/x", "m")
-		Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
-		Expect(got.Body.String()).To(Equal("back ends full\n"))
-		f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e3": busy})
-		Expect(f.ask(context.Background(), "r2", "/stream/x", "m").Code).To(Equal(http.StatusOK))
-		Expect(f.upstreams.on).To(Equal([]string{"e2"}))
+		spectest.Bubble(func() {
+			f := newFixture(func(string, int) fate { return whole }, 1)
+			busy := dispatch.Load{Running: 1, Prefill: [dispatch.UrgencyLevels]int{100_000}}
+			f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e2": busy, "e3": busy})
+			got := f.ask(context.Background(), "r1", "/stream/x", "m")
+			Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
+			Expect(got.Body.String()).To(Equal("back ends full\n"))
+			f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e3": busy})
+			Expect(f.ask(context.Background(), "r2", "/stream/x", "m").Code).To(Equal(http.StatusOK))
+			Expect(f.upstreams.on).To(Equal([]string{"e2"}))
+		})
 	})
 })
--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -8,6 +8,7 @@
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("the candidates of a request", func() {
@@ -37,23 +38,27 @@
 	)
 
 	It("leave out upstreams that were tried or turned such a request down a moment ago", func() {
-		r := request(both)
-		r.gateway.Directory.MarkMissing("both", "m", "a")
-		_, lacking := r.candidates()
-		Expect(lacking).To(Equal(reasonUnreachable))
-		r = request(both)
-		r.attempts.upstreams = []string{"both"}
-		_, lacking = r.candidates()
-		Expect(lacking).To(Equal(reasonNoUpstream))
+		spectest.Bubble(func() {
+			r := request(both)
+			r.gateway.Directory.MarkMissing("both", "m", "a")
+			_, lacking := r.candidates()
+			Expect(lacking).To(Equal(reasonUnreachable))
+			r = request(both)
+			r.attempts.upstreams = []string{"both"}
+			_, lacking = r.candidates()
+			Expect(lacking).To(Equal(reasonNoUpstream))
+		})
 	})
 
 	It("of a plain service need hold no model", func() {
-		r := request(empty)
-		r.need = dispatch.Requirements{Service: "s"}
-		list, _ := r.candidates()
-		Expect(list).To(HaveLen(1))
-		r.gateway.Directory.MarkUnreachable("empty")
-		_, lacking := r.candidates()
-		Expect(lacking).To(Equal(reasonNoUpstream))
+		spectest.Bubble(func() {
+			r := request(empty)
+			r.need = dispatch.Requirements{Service: "s"}
+			list, _ := r.candidates()
+			Expect(list).To(HaveLen(1))
+			r.gateway.Directory.MarkUnreachable("empty")
+			_, lacking := r.candidates()
+			Expect(lacking).To(Equal(reasonNoUpstream))
+		})
 	})
 })
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -104,18 +104,22 @@
 	})
 
 	It("answers 503, never 404, while it knows no configuration", func() {
-		f := newFixture(func(string, int) fate { return whole }, 1)
-		f.table.Store(nil)
-		Expect(f.ask(context.Background(), "r", "/once/x", "").Code).To(Equal(http.StatusServiceUnavailable))
-		Expect(f.ask(context.Background(), "r", "/nowhere/x", "").Code).To(Equal(http.StatusServiceUnavailable))
+		spectest.Bubble(func() {
+			f := newFixture(func(string, int) fate { return whole }, 1)
+			f.table.Store(nil)
+			Expect(f.ask(context.Background(), "r", "/once/x", "").Code).To(Equal(http.StatusServiceUnavailable))
+			Expect(f.ask(context.Background(), "r", "/nowhere/x", "").Code).To(Equal(http.StatusServiceUnavailable))
+		})
 	})
 
 	It("never goes back to an older configuration", func() {
-		f := newFixture(func(string, int) fate { return whole }, 1)
-		Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
-		Expect(f.SetTable(routes.New(2, nil, nil, routes.Limits{}))).To(BeTrue())
-		Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
-		Expect(f.Table().Version).To(Equal(int64(2)))
+		spectest.Bubble(func() {
+			f := newFixture(func(string, int) fate { return whole }, 1)
+			Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
+			Expect(f.SetTable(routes.New(2, nil, nil, routes.Limits{}))).To(BeTrue())
+			Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
+			Expect(f.Table().Version).To(Equal(int64(2)))
+		})
 	})
 
 	It("keeps retries within its share of the budget, whatever fails", func() {
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -6,6 +6,7 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("an outcome", func() {
@@ -26,11 +27,13 @@
 	)
 
 	It("is not held against an upstream when the caller left, but is when the deadline passed", func() {
-		left, leave := context.WithCancel(context.Background())
-		leave()
-		late, stop := context.WithTimeout(context.Background(), 0)
-		defer stop()
-		Expect(outcomeOf(left, nil, ErrBroken)).To(Equal(outcomeAbandoned))
-		Expect(outcomeOf(late, nil, ErrBroken)).To(Equal(outcomeBroken))
+		spectest.Bubble(func() {
+			left, leave := context.WithCancel(context.Background())
+			leave()
+			late, stop := context.WithTimeout(context.Background(), 0)
+			defer stop()
+			Expect(outcomeOf(left, nil, ErrBroken)).To(Equal(outcomeAbandoned))
+			Expect(outcomeOf(late, nil, ErrBroken)).To(Equal(outcomeBroken))
+		})
 	})
 })
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -7,6 +7,7 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("a refusal", func() {
@@ -38,10 +39,12 @@
 	)
 
 	It("carries the retry-after in seconds, and its reason", func() {
-		answer := httptest.NewRecorder()
-		notRun(reasonFull, 1234*time.Millisecond).write(answer)
-		Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
-		Expect(answer.Header().Get("Retry-After")).To(Equal("1.234"))
-		Expect(answer.Body.String()).To(Equal("back ends full\n"))
+		spectest.Bubble(func() {
+			answer := httptest.NewRecorder()
+			notRun(reasonFull, 1234*time.Millisecond).write(answer)
+			Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
+			Expect(answer.Header().Get("Retry-After")).To(Equal("1.234"))
+			Expect(answer.Body.String()).To(Equal("back ends full\n"))
+		})
 	})
 })
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/routes"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
 var _ = Describe("the rule of retries", func() {
@@ -33,10 +34,12 @@
 	)
 
 	It("draws on the retry budget once an attempt has reached an upstream", func() {
-		r := request(repeatable, attempts{sent: 1})
-		Expect([]reason{r.takeAttempt(), r.takeAttempt()}).To(Equal([]reason{"", ""}))
-		r.attempts.reached = 1
-		Expect([]reason{r.takeAttempt(), r.takeAttempt()}).To(Equal([]reason{"", reasonBudget}))
+		spectest.Bubble(func() {
+			r := request(repeatable, attempts{sent: 1})
+			Expect([]reason{r.takeAttempt(), r.takeAttempt()}).To(Equal([]reason{"", ""}))
+			r.attempts.reached = 1
+			Expect([]reason{r.takeAttempt(), r.takeAttempt()}).To(Equal([]reason{"", reasonBudget}))
+		})
 	})
 
 	DescribeTable("sends again only what did not run or may run more than once",
@@ -50,9 +53,11 @@
 	)
 
 	It("replaces a failed answer only where the request may run more than once", func() {
-		Expect(request(repeatable, attempts{}).mayReplace(http.StatusInternalServerError)).To(BeTrue())
-		Expect(request(repeatable, attempts{}).mayReplace(http.StatusBadRequest)).To(BeFalse())
-		Expect(request(once, attempts{}).mayReplace(http.StatusInternalServerError)).To(BeFalse())
+		spectest.Bubble(func() {
+			Expect(request(repeatable, attempts{}).mayReplace(http.StatusInternalServerError)).To(BeTrue())
+			Expect(request(repeatable, attempts{}).mayReplace(http.StatusBadRequest)).To(BeFalse())
+			Expect(request(once, attempts{}).mayReplace(http.StatusInternalServerError)).To(BeFalse())
+		})
 	})
 
 	DescribeTable("answers by whether the request may have run",
@@ -65,12 +70,14 @@
 	)
 
 	It("answers by how the context ended", func() {
-		left, leave := context.WithCancel(context.Background())
-		leave()
-		late, stop := context.WithTimeout(context.Background(), 0)
-		defer stop()
-		Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(left)).To(Equal(callerLeft()))
-		Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(late)).To(Equal(mayHaveRun(reasonTimeout)))
-		Expect(request(repeatable, attempts{sent: 1}).ended(late)).To(Equal(notRun(reasonTimeout, 0)))
+		spectest.Bubble(func() {
+			left, leave := context.WithCancel(context.Background())
+			leave()
+			late, stop := context.WithTimeout(context.Background(), 0)
+			defer stop()
+			Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(left)).To(Equal(callerLeft()))
+			Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(late)).To(Equal(mayHaveRun(reasonTimeout)))
+			Expect(request(repeatable, attempts{sent: 1}).ended(late)).To(Equal(notRun(reasonTimeout, 0)))
+		})
 	})
 })
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -21,53 +21,61 @@
 	})
 
 	It("sends prompts that share a prefix where it is cached, until waiting there costs more", func() {
-		states := engines(4)
-		first, ok := chooser.Choose(need("x"), states)
-		Expect(ok).To(BeTrue())
-		tracker.Begin(first, need("x")).End()
-		second, _ := chooser.Choose(need("y"), states)
-		Expect(second.Upstream.ID).To(Equal(first.Upstream.ID))
-		Expect(second.Uncached).To(Equal(500))
-		for n := range 20 {
-			tracker.Begin(second, need(fmt.Sprint("z", n)))
-		}
-		third, _ := chooser.Choose(need("q"), states)
-		Expect(third.Upstream.ID).NotTo(Equal(first.Upstream.ID))
+		spectest.Bubble(func() {
+			states := engines(4)
+			first, ok := chooser.Choose(need("x"), states)
+			Expect(ok).To(BeTrue())
+			tracker.Begin(first, need("x")).End()
+			second, _ := chooser.Choose(need("y"), states)
+			Expect(second.Upstream.ID).To(Equal(first.Upstream.ID))
+			Expect(second.Uncached).To(Equal(500))
+			for n := range 20 {
+				tracker.Begin(second, need(fmt.Sprint("z", n)))
+			}
+			third, _ := chooser.Choose(need("q"), states)
+			Expect(third.Upstream.ID).NotTo(Equal(first.Upstream.ID))
+		})
 	})
 
 	It("has all boxes prefer one engine for a prompt that none has cached", func() {
-		states := engines(6)
-		first, _ := chooser.Choose(need("x"), states)
-		for range 5 {
-			other := dispatch.NewLoadTracker()
-			choice, _ := (&dispatch.Chooser{Loads: other, Hall: "z"}).Choose(need("y"), states)
-			Expect(choice.Upstream.ID).To(Equal(first.Upstream.ID))
-		}
+		spectest.Bubble(func() {
+			states := engines(6)
+			first, _ := chooser.Choose(need("x"), states)
+			for range 5 {
+				other := dispatch.NewLoadTracker()
+				choice, _ := (&dispatch.Chooser{Loads: other, Hall: "z"}).Choose(need("y"), states)
+				Expect(choice.Upstream.ID).To(Equal(first.Upstream.ID))
+			}
+		})
 	})
 
 	It("counts what peers have under way", func() {
-		states := engines(2)
-		tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
-		for range 5 {
-			choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
-			Expect(choice.Upstream.ID).To(Equal("e1"))
-		}
-		Expect(tracker.Total("e0").Running).To(Equal(8))
+		spectest.Bubble(func() {
+			states := engines(2)
+			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
+			for range 5 {
+				choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+				Expect(choice.Upstream.ID).To(Equal("e1"))
+			}
+			Expect(tracker.Total("e0").Running).To(Equal(8))
+		})
 	})
 
 	It("counts only prompts that are at least as urgent", func() {
-		states := engines(1)
-		for n := range 10 {
-			less := need(fmt.Sprint("l", n))
-			less.Urgency = 2
-			choice, _ := chooser.Choose(less, states)
-			tracker.Begin(choice, less)
-		}
-		urgent, _ := chooser.Choose(need("u"), states)
-		patient := need("p")
-		patient.Urgency = 2
-		later, _ := chooser.Choose(patient, states)
-		Expect(later.Wait).To(BeNumerically(">", urgent.Wait+20*time.Millisecond))
+		spectest.Bubble(func() {
+			states := engines(1)
+			for n := range 10 {
+				less := need(fmt.Sprint("l", n))
+				less.Urgency = 2
+				choice, _ := chooser.Choose(less, states)
+				tracker.Begin(choice, less)
+			}
+			urgent, _ := chooser.Choose(need("u"), states)
+			patient := need("p")
+			patient.Urgency = 2
+			later, _ := chooser.Choose(patient, states)
+			Expect(later.Wait).To(BeNumerically(">", urgent.Wait+20*time.Millisecond))
+		})
 	})
 
 	It("ejects upstreams that fail more than the others, but takes one that is the only candidate", func() {
@@ -107,18 +115,20 @@
 	})
 
 	It("takes off the whole load of a request, however it ends", func() {
-		states := engines(1)
-		choice, _ := chooser.Choose(need("x"), states)
-		for n := range 4 {
-			ticket := tracker.Begin(choice, need("x"))
-			if n%2 == 0 {
+		spectest.Bubble(func() {
+			states := engines(1)
+			choice, _ := chooser.Choose(need("x"), states)
+			for n := range 4 {
+				ticket := tracker.Begin(choice, need("x"))
+				if n%2 == 0 {
+					ticket.Started()
+				}
+				ticket.End()
+				ticket.End()
 				ticket.Started()
 			}
-			ticket.End()
-			ticket.End()
-			ticket.Started()
-		}
-		Expect(tracker.Loads()).To(BeEmpty())
+			Expect(tracker.Loads()).To(BeEmpty())
+		})
 	})
 })
 
--- a/pkg/dispatch/observations_test.go
+++ b/pkg/dispatch/observations_test.go
@@ -12,20 +12,22 @@
 
 var _ = Describe("observations", func() {
 	It("have a peer count the prompts that an engine has cached, without each request's own part", func() {
-		tracker := dispatch.NewLoadTracker()
-		choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need("x"), engines(1))
-		tracker.Begin(choice, need("x"))
-		sent, _ := tracker.TakeObservations()
-		Expect(sent).To(HaveLen(1))
-		Expect(sent[0].Blocks).To(HaveLen(2))
+		spectest.Bubble(func() {
+			tracker := dispatch.NewLoadTracker()
+			choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need("x"), engines(1))
+			tracker.Begin(choice, need("x"))
+			sent, _ := tracker.TakeObservations()
+			Expect(sent).To(HaveLen(1))
+			Expect(sent[0].Blocks).To(HaveLen(2))
 
-		peer := dispatch.NewLoadTracker()
-		chooser := &dispatch.Chooser{Loads: peer, Hall: "z"}
-		before, _ := chooser.Choose(need("y"), engines(1))
-		Expect(before.Uncached).To(Equal(6500))
-		peer.MergeObservations(dispatch.Observations{Prompts: sent})
-		after, _ := chooser.Choose(need("y"), engines(1))
-		Expect(after.Uncached).To(Equal(500))
+			peer := dispatch.NewLoadTracker()
+			chooser := &dispatch.Chooser{Loads: peer, Hall: "z"}
+			before, _ := chooser.Choose(need("y"), engines(1))
+			Expect(before.Uncached).To(Equal(6500))
+			peer.MergeObservations(dispatch.Observations{Prompts: sent})
+			after, _ := chooser.Choose(need("y"), engines(1))
+			Expect(after.Uncached).To(Equal(500))
+		})
 	})
 
 	It("name a prompt that was sent again to the same engine only once in a while", func() {
@@ -46,13 +48,15 @@
 	})
 
 	It("are given out once", func() {
-		tracker := dispatch.NewLoadTracker()
-		tracker.RecordOutcome("e0", true)
-		tracker.RecordOutcome("e0", false)
-		_, outcomes := tracker.TakeObservations()
-		Expect(outcomes).To(Equal(map[string]dispatch.Outcomes{"e0": {Succeeded: 1, Failed: 1}}))
-		sent, outcomes := tracker.TakeObservations()
-		Expect(sent).To(BeEmpty())
-		Expect(outcomes).To(BeEmpty())
+		spectest.Bubble(func() {
+			tracker := dispatch.NewLoadTracker()
+			tracker.RecordOutcome("e0", true)
+			tracker.RecordOutcome("e0", false)
+			_, outcomes := tracker.TakeObservations()
+			Expect(outcomes).To(Equal(map[string]dispatch.Outcomes{"e0": {Succeeded: 1, Failed: 1}}))
+			sent, outcomes := tracker.TakeObservations()
+			Expect(sent).To(BeEmpty())
+			Expect(outcomes).To(BeEmpty())
+		})
 	})
 })
--- a/pkg/dispatch/prediction_test.go
+++ b/pkg/dispatch/prediction_test.go
@@ -52,15 +52,17 @@
 	})
 
 	It("count a full upstream as a long wait", func() {
-		tracker := dispatch.NewLoadTracker()
-		chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
-		tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 7}})
-		free, _ := chooser.Choose(need("x"), engines(1))
-		tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}})
-		full, _ := chooser.Choose(need("x"), engines(1))
-		Expect(full.Wait - free.Wait).To(BeNumerically("~", 401*time.Millisecond, time.Millisecond))
-		tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 7, Tokens: 190_000}})
-		outOfMemory, _ := chooser.Choose(need("x"), engines(1))
-		Expect(outOfMemory.Wait - free.Wait).To(Equal(400 * time.Millisecond))
+		spectest.Bubble(func() {
+			tracker := dispatch.NewLoadTracker()
+			chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
+			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 7}})
+			free, _ := chooser.Choose(need("x"), engines(1))
+			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}})
+			full, _ := chooser.Choose(need("x"), engines(1))
+			Expect(full.Wait - free.Wait).To(Equal(401 * time.Millisecond))
+			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 7, Tokens: 190_000}})
+			outOfMemory, _ := chooser.Choose(need("x"), engines(1))
+			Expect(outOfMemory.Wait - free.Wait).To(Equal(400 * time.Millisecond))
+		})
 	})
 })
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -40,21 +40,25 @@
 	BeforeEach(func() { router = routing.New(routing.Config{}) })
 
 	It("estimates the wait by the requests beyond the slots and the mean time in a slot", func() {
-		choice, err := router.Pick("m", "", candidates(5))
-		Expect(err).NotTo(HaveOccurred())
-		Expect(choice.Wait).To(Equal(4 * time.Second))
-		for range 500 {
-			router.Served("m", time.Second)
-		}
-		Expect(router.Service("m")).To(BeNumerically("~", time.Second, time.Millisecond))
-		choice, _ = router.Pick("m", "", candidates(5))
-		Expect(choice.Wait).To(BeNumerically("~", 2*time.Second, 2*time.Millisecond))
+		spectest.Bubble(func() {
+			choice, err := router.Pick("m", "", candidates(5))
+			Expect(err).NotTo(HaveOccurred())
+			Expect(choice.Wait).To(Equal(4 * time.Second))
+			for range 500 {
+				router.Served("m", time.Second)
+			}
+			Expect(router.Service("m")).To(BeNumerically("~", time.Second, time.Millisecond))
+			choice, _ = router.Pick("m", "", candidates(5))
+			Expect(choice.Wait).To(BeNumerically("~", 2*time.Second, 2*time.Millisecond))
+		})
 	})
 
 	It("spreads choices among engines that are about equal", func() {
-		counts := picked(router, "", candidates(0, 1, 0, 2))
-		Expect(counts).To(HaveLen(3))
-		Expect(counts).NotTo(HaveKey("e3"))
+		spectest.Bubble(func() {
+			counts := picked(router, "", candidates(0, 1, 0, 2))
+			Expect(counts).To(HaveLen(3))
+			Expect(counts).NotTo(HaveKey("e3"))
+		})
 	})
 
 	It("counts what was sent since a report, by this box and by peers", func() {
@@ -82,19 +86,23 @@
 	})
 
 	It("sends prompts that share a prefix where it is cached, until waiting there costs more", func() {
-		prompt := strings.Repeat("x", 1024)
-		router.Sent("m", prompt, "e0")()
-		Expect(picked(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
-		Expect(picked(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
-		Expect(picked(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
-		router.CacheGone("e0")
-		Expect(picked(router, prompt, candidates(0, 0))).To(HaveLen(2))
+		spectest.Bubble(func() {
+			prompt := strings.Repeat("x", 1024)
+			router.Sent("m", prompt, "e0")()
+			Expect(picked(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
+			Expect(picked(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
+			Expect(picked(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
+			router.CacheGone("e0")
+			Expect(picked(router, prompt, candidates(0, 0))).To(HaveLen(2))
+		})
 	})
 
 	It("prefers the near engine among equals", func() {
-		list := candidates(0, 0)
-		list[1].Distance = 5 * time.Millisecond
-		Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+		spectest.Bubble(func() {
+			list := candidates(0, 0)
+			list[1].Distance = 5 * time.Millisecond
+			Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+		})
 	})
 
 	It("avoids an engine that failed for a while, unless there is no other", func() {
@@ -108,17 +116,19 @@
 	})
 
 	It("counts all that it sent, and forgets engines that are gone once they are idle", func() {
-		first := router.Sent("m", "", "e0")
-		router.Sent("m", "", "e0")()
-		router.Sent("m", "", "e1")
-		Expect(router.Totals()).To(Equal(map[string]int64{"e0": 2, "e1": 1}))
-		gone := func(string) bool { return false }
-		router.Forget(gone)
-		Expect(router.Totals()).To(HaveLen(2))
-		first()
-		first()
-		router.Forget(gone)
-		Expect(router.Totals()).To(Equal(map[string]int64{"e1": 1}))
+		spectest.Bubble(func() {
+			first := router.Sent("m", "", "e0")
+			router.Sent("m", "", "e0")()
+			router.Sent("m", "", "e1")
+			Expect(router.Totals()).To(Equal(map[string]int64{"e0": 2, "e1": 1}))
+			gone := func(string) bool { return false }
+			router.Forget(gone)
+			Expect(router.Totals()).To(HaveLen(2))
+			first()
+			first()
+			router.Forget(gone)
+			Expect(router.Totals()).To(Equal(map[string]int64{"e1": 1}))
+		})
 	})
 })
 
