--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -3,49 +3,15 @@
 import (
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
-	"ospreymoor.example/ospreymoor/pkg/fleet"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestDispatch(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Dispatch")
-}
-
-// bubble runs a spec on the runtime's fake clock.
-func bubble(spec func()) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
-		spec()
-	})
-}
-
-func engines(n int) []*fleet.State {
-	directory := fleet.New()
-	var list []fleet.Upstream
-	for i := range n {
-		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", i), Service: "s", Hall: "z", Slots: 8, Revision: 1})
-	}
-	directory.SetList(1, list, time.Time{})
-	return directory.Of("s")
-}
-
-func need(own string) dispatch.Requirements {
-	parts := []dispatch.PromptPart{{ID: "a", Tokens: 3000}, {ID: "b", Tokens: 3000}, {ID: own, Tokens: 500}}
-	return dispatch.Requirements{
-		Service: "s", Model: "m", Blocks: dispatch.PrefixBlocks("m", "", parts), PromptTokens: 6500, AnswerTokens: 50, CacheTokens: 200_000,
-	}
-}
-
 var _ = Describe("a chooser", func() {
 	var tracker *dispatch.LoadTracker
 	var chooser *dispatch.Chooser
@@ -55,100 +21,114 @@
 	})
 
 	It("sends prompts that share a prefix where it is cached, until waiting there costs more", func() {
-		states := engines(4)
-		first, ok := chooser.Choose(need("x"), states)
-		Expect(ok).To(BeTrue())
-		tracker.Begin(first, need("x")).End()
-		second, _ := chooser.Choose(need("y"), states)
-		Expect(second.Upstream.ID).To(Equal(first.Upstream.ID))
-		Expect(second.Uncached).To(Equal(500))
-		for n := range 20 {
-			tracker.Begin(second, need(fmt.Sprint("z", n)))
-		}
-		third, _ := chooser.Choose(need("q"), states)
-		Expect(third.Upstream.ID).NotTo(Equal(first.Upstream.ID))
+		spectest.Bubble(func() {
+			states := engines(4)
+			first, ok := chooser.Choose(need("x"), states)
+			Expect(ok).To(BeTrue())
+			tracker.Begin(first, need("x")).End()
+			second, _ := chooser.Choose(need("y"), states)
+			Expect(second.Upstream.ID).To(Equal(first.Upstream.ID))
+			Expect(second.Uncached).To(Equal(500))
+			for n := range 20 {
+				tracker.Begin(second, need(fmt.Sprint("z", n)))
+			}
+			third, _ := chooser.Choose(need("q"), states)
+			Expect(third.Upstream.ID).NotTo(Equal(first.Upstream.ID))
+		})
 	})
 
 	It("has all boxes prefer one engine for a prompt that none has cached", func() {
-		states := engines(6)
-		first, _ := chooser.Choose(need("x"), states)
-		for range 5 {
-			other := dispatch.NewLoadTracker()
-			choice, _ := (&dispatch.Chooser{Loads: other, Hall: "z"}).Choose(need("y"), states)
-			Expect(choice.Upstream.ID).To(Equal(first.Upstream.ID))
-		}
+		spectest.Bubble(func() {
+			states := engines(6)
+			first, _ := chooser.Choose(need("x"), states)
+			for range 5 {
+				other := dispatch.NewLoadTracker()
+				choice, _ := (&dispatch.Chooser{Loads: other, Hall: "z"}).Choose(need("y"), states)
+				Expect(choice.Upstream.ID).To(Equal(first.Upstream.ID))
+			}
+		})
 	})
 
 	It("counts what peers have under way", func() {
-		states := engines(2)
-		tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
-		for range 5 {
-			choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
-			Expect(choice.Upstream.ID).To(Equal("e1"))
-		}
-		Expect(tracker.Total("e0").Running).To(Equal(8))
+		spectest.Bubble(func() {
+			states := engines(2)
+			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}})
+			for range 5 {
+				choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+				Expect(choice.Upstream.ID).To(Equal("e1"))
+			}
+			Expect(tracker.Total("e0").Running).To(Equal(8))
+		})
 	})
 
 	It("counts only prompts that are at least as urgent", func() {
-		states := engines(1)
-		for n := range 10 {
-			less := need(fmt.Sprint("l", n))
-			less.Urgency = 2
-			choice, _ := chooser.Choose(less, states)
-			tracker.Begin(choice, less)
-		}
-		urgent, _ := chooser.Choose(need("u"), states)
-		patient := need("p")
-		patient.Urgency = 2
-		later, _ := chooser.Choose(patient, states)
-		Expect(later.Wait).To(BeNumerically(">", urgent.Wait+20*time.Millisecond))
+		spectest.Bubble(func() {
+			states := engines(1)
+			for n := range 10 {
+				less := need(fmt.Sprint("l", n))
+				less.Urgency = 2
+				choice, _ := chooser.Choose(less, states)
+				tracker.Begin(choice, less)
+			}
+			urgent, _ := chooser.Choose(need("u"), states)
+			patient := need("p")
+			patient.Urgency = 2
+			later, _ := chooser.Choose(patient, states)
+			Expect(later.Wait).To(BeNumerically(">", urgent.Wait+20*time.Millisecond))
+		})
 	})
 
 	It("ejects upstreams that fail more than the others, but takes one that is the only candidate", func() {
-		states := engines(4)
-		for range 12 {
-			tracker.RecordOutcome("e0", false)
-			for _, id := range []string{"e1", "e2", "e3"} {
-				tracker.RecordOutcome(id, true)
+		spectest.Bubble(func() {
+			states := engines(4)
+			for range 12 {
+				tracker.RecordOutcome("e0", false)
+				for _, id := range []string{"e1", "e2", "e3"} {
+					tracker.RecordOutcome(id, true)
+				}
+			}
+			for range 50 {
+				choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+				Expect(choice.Upstream.ID).NotTo(Equal("e0"))
 			}
-		}
-		for range 50 {
-			choice, _ := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
-			Expect(choice.Upstream.ID).NotTo(Equal("e0"))
-		}
-		only, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states[:1])
-		Expect(ok).To(BeTrue())
-		Expect(only.Upstream.ID).To(Equal("e0"))
+			only, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states[:1])
+			Expect(ok).To(BeTrue())
+			Expect(only.Upstream.ID).To(Equal("e0"))
+		})
 	})
 
 	It("ejects no upstream when all fail alike", func() {
-		states := engines(2)
-		for range 30 {
-			tracker.RecordOutcome("e0", false)
-			tracker.RecordOutcome("e1", false)
-		}
-		seen := map[string]bool{}
-		for range 100 {
-			choice, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
-			Expect(ok).To(BeTrue())
-			seen[choice.Upstream.ID] = true
-		}
-		Expect(seen).To(HaveLen(2))
+		spectest.Bubble(func() {
+			states := engines(2)
+			for range 30 {
+				tracker.RecordOutcome("e0", false)
+				tracker.RecordOutcome("e1", false)
+			}
+			seen := map[string]bool{}
+			for range 100 {
+				choice, ok := chooser.Choose(dispatch.Requirements{Service: "s"}, states)
+				Expect(ok).To(BeTrue())
+				seen[choice.Upstream.ID] = true
+			}
+			Expect(seen).To(HaveLen(2))
+		})
 	})
 
 	It("takes off the whole load of a request, however it ends", func() {
-		states := engines(1)
-		choice, _ := chooser.Choose(need("x"), states)
-		for n := range 4 {
-			ticket := tracker.Begin(choice, need("x"))
-			if n%2 == 0 {
+		spectest.Bubble(func() {
+			states := engines(1)
+			choice, _ := chooser.Choose(need("x"), states)
+			for n := range 4 {
+				ticket := tracker.Begin(choice, need("x"))
+				if n%2 == 0 {
+					ticket.Started()
+				}
+				ticket.End()
+				ticket.End()
 				ticket.Started()
 			}
-			ticket.End()
-			ticket.End()
-			ticket.Started()
-		}
-		Expect(tracker.Loads()).To(BeEmpty())
+			Expect(tracker.Loads()).To(BeEmpty())
+		})
 	})
 })
 
