--- a/internal/cluster/ensure.go
+++ b/internal/cluster/ensure.go
@@ -24,29 +24,29 @@
 
 // Ensure asks the order holder, which may be this box, for an adapter or model. The error is
 // errNoHolder, that of the call, or the holder's refusal.
-func (e *Ensurer) Ensure(ctx context.Context, service, model, adapter string) (residency.Ensured, error) {
+func (e *Ensurer) Ensure(ctx context.Context, service, model, adapter string) (residency.EnsureResult, error) {
 	ensured, err := e.Controller.Ensure(ctx, service, model, adapter)
 	if !errors.Is(err, residency.ErrNotHolder) {
 		return ensured, err
 	}
 	address, ok := e.Members.Holder()
 	if !ok {
-		return residency.Ensured{}, errNoHolder
+		return residency.EnsureResult{}, errNoHolder
 	}
 	request := ensureRequest{Service: service, Model: model, Adapter: adapter}
 	answer, err := peer.Call[ensureAnswer](ctx, e.Client, address, methodEnsure, request)
 	if err != nil {
-		return residency.Ensured{}, err
+		return residency.EnsureResult{}, err
 	}
 	if answer.Error != "" {
-		return answer.Ensured, errors.New(answer.Error)
+		return answer.EnsureResult, errors.New(answer.Error)
 	}
-	return answer.Ensured, nil
+	return answer.EnsureResult, nil
 }
 
 func (e *Ensurer) answer(ctx context.Context, request ensureRequest) (ensureAnswer, error) {
 	ensured, err := e.Controller.Ensure(ctx, request.Service, request.Model, request.Adapter)
-	answer := ensureAnswer{Ensured: ensured}
+	answer := ensureAnswer{EnsureResult: ensured}
 	if err != nil {
 		answer.Error = err.Error()
 	}
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -31,8 +31,8 @@
 	Loads      *dispatch.LoadTracker
 	Demand     *residency.Demand
 	Controller *residency.Controller
-	// AdapterUses lists what this box has running with adapters.
-	AdapterUses func() []residency.AdapterUse
+	// ModelUses lists what this box has running with adapters.
+	ModelUses func() []residency.ModelUse
 	// Leaving reports whether this box is about to stop.
 	Leaving func() bool
 	// Dropped is called with the upstreams whose entries lapsed.
@@ -74,7 +74,7 @@
 	targets, calls := e.Members.nextCalls(now)
 	e.Demand.Note(e.Pending.collect(e.Loads, targets), now)
 	e.applyLoads(now)
-	e.Directory.ForgetExpired()
+	e.Directory.ExpireMarks()
 	e.Dropped(e.Directory.DropLapsed())
 	for _, c := range calls {
 		go e.exchangeWith(ctx, c)
@@ -106,7 +106,7 @@
 		Scope:        sent,
 		Leaving:      e.Leaving(),
 		StoreLost:    e.Mirror.Lost(),
-		StoreAge:     e.Mirror.Age(),
+		StoreAge:     e.Mirror.StoreAge(),
 		Staleness:    e.Mirror.Staleness(),
 		Revision:     e.Mirror.State().Revision,
 		OrderHolder:  e.orderHolder(),
@@ -127,7 +127,7 @@
 
 // ownSummary is what this box itself has under way.
 func (e *Exchange) ownSummary() loadSummary {
-	own := loadSummary{Boxes: 1, Loads: e.Loads.Loads(), Uses: e.AdapterUses()}
+	own := loadSummary{Boxes: 1, Loads: e.Loads.Loads(), Uses: e.ModelUses()}
 	if e.Mirror.Lost() {
 		own.StoreLost = 1
 	}
--- a/internal/cluster/members_test.go
+++ b/internal/cluster/members_test.go
@@ -240,10 +240,10 @@
 
 	It("name each use of an adapter once", func() {
 		spectest.Bubble(func() {
-			use := residency.AdapterUse{Upstream: "e", Model: "m", Adapter: "a"}
+			use := residency.ModelUse{Upstream: "e", Model: "m", Adapter: "a"}
 			one, two := use, use
 			one.Running, two.Running = 1, 2
-			sum := merged([]residency.AdapterUse{one, two})
+			sum := merged([]residency.ModelUse{one, two})
 			Expect(sum).To(HaveLen(1))
 			Expect(sum[0].Running).To(Equal(3))
 		})
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -52,7 +52,7 @@
 	StoreLost int `json:"storeLost,omitempty"`
 	// Loads by upstream.
 	Loads map[string]dispatch.Load `json:"loads,omitempty"`
-	Uses  []residency.AdapterUse   `json:"uses,omitempty"`
+	Uses  []residency.ModelUse     `json:"uses,omitempty"`
 }
 
 // message is one side of an exchange: the caller sends one and is answered by one.
@@ -119,6 +119,6 @@
 
 // ensureAnswer is where it is, or when it will be; Error is why not.
 type ensureAnswer struct {
-	residency.Ensured
+	residency.EnsureResult
 	Error string `json:"error,omitempty"`
 }
--- a/internal/cluster/messages_test.go
+++ b/internal/cluster/messages_test.go
@@ -37,7 +37,7 @@
 			Delta:       &mirror.Delta{},
 			OrderHolder: &orderHolder{Name: "h", Address: "b:2", Term: 7, Age: time.Second},
 			Update:      &fleet.Update{},
-			Summary:     &loadSummary{Boxes: 2, StoreLost: 1, Loads: map[string]dispatch.Load{"e": {}}, Uses: []residency.AdapterUse{{}}},
+			Summary:     &loadSummary{Boxes: 2, StoreLost: 1, Loads: map[string]dispatch.Load{"e": {}}, Uses: []residency.ModelUse{{}}},
 			Work:        []workItem{{ModelKey: residency.ModelKey{Service: "s", Model: "m"}, Milliseconds: 3}},
 		}
 		Expect(asJSON(full)).To(Equal(`{"from":{"name":"n","zone":"z","address":"a:1","incarnation":"inc","cores":1.5},` +
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -41,7 +41,7 @@
 	others := e.Members.otherBoxes(now)
 	e.Loads.SetRemoteLoads(others.Loads)
 	if _, err := e.Controller.Term(); err == nil {
-		e.Controller.SetAdapterUses(append(e.AdapterUses(), others.Uses...))
+		e.Controller.SetModelUses(append(e.ModelUses(), others.Uses...))
 	}
 }
 
--- a/internal/cluster/summary.go
+++ b/internal/cluster/summary.go
@@ -20,9 +20,9 @@
 }
 
 // merged returns the uses with each named once.
-func merged(uses []residency.AdapterUse) []residency.AdapterUse {
-	index := make(map[residency.AdapterUse]int, len(uses))
-	var list []residency.AdapterUse
+func merged(uses []residency.ModelUse) []residency.ModelUse {
+	index := make(map[residency.ModelUse]int, len(uses))
+	var list []residency.ModelUse
 	for _, use := range uses {
 		key := use
 		key.Running = 0
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,7 +14,7 @@
 	r.attempts.begin(choice)
 	r.noteDemand(choice.Uncached)
 	ticket := r.beginLoad(choice)
-	attempt := Attempt{Request: r.request, LastEventID: lastEventID, Urgency: r.route.Priority}
+	attempt := Attempt{Request: r.request, LastEventID: lastEventID, Urgency: r.route.Urgency}
 	if !r.deadlines.answer.IsZero() {
 		attempt.Left = time.Until(r.deadlines.answer)
 	}
@@ -28,7 +28,7 @@
 func (r *inflight) beginLoad(choice dispatch.Choice) *dispatch.Ticket {
 	ticket := r.gateway.Loads.Begin(choice, r.need)
 	if r.need.Model != "" {
-		use := residency.AdapterUse{Upstream: choice.Upstream.ID, Model: r.need.Model, Adapter: r.need.Adapter}
+		use := residency.ModelUse{Upstream: choice.Upstream.ID, Model: r.need.Model, Adapter: r.need.Adapter}
 		ticket.OnEnd(r.gateway.uses.begin(use))
 	}
 	return ticket
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -28,7 +28,7 @@
 // It reads the directory as this box has it: the platform's list, the reports of the order holder and
 // what upstreams answered lately. A miss of that knowledge costs an attempt that is not executed.
 func (r *inflight) candidates() (list []*fleet.State, lacking reason) {
-	upstreams := r.gateway.Directory.Of(r.service)
+	upstreams := r.gateway.Directory.OfService(r.service)
 	list = make([]*fleet.State, 0, len(upstreams))
 	now := time.Now()
 	best := unusable
@@ -50,7 +50,7 @@
 		return lacksModel
 	case r.need.Model != "" && !state.HoldsAdapter(r.need.Model, r.need.Adapter):
 		return lacksAdapter
-	case r.gateway.Directory.Missing(state.ID, r.need.Model, r.need.Adapter):
+	case r.gateway.Directory.Unavailable(state.ID, r.need.Model, r.need.Adapter):
 		return unreachable
 	}
 	return suitable
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -19,10 +19,10 @@
 // noteDemand reports the engine time that the request will probably take, in milliseconds; uncached
 // is the number of prompt tokens that the engine has to read.
 func (r *inflight) noteDemand(uncached int) {
-	if r.need.Model == "" || r.gateway.Note == nil {
+	if r.need.Model == "" || r.gateway.NoteDemand == nil {
 		return
 	}
 	work := r.gateway.Loads.Work(r.need, uncached)
 	key := residency.ModelKey{Service: r.service, Model: r.need.Model}
-	r.gateway.Note(map[residency.ModelKey]float64{key: float64(work) / float64(time.Millisecond)})
+	r.gateway.NoteDemand(map[residency.ModelKey]float64{key: float64(work) / float64(time.Millisecond)})
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -120,13 +120,13 @@
 		Loads:     loads,
 		Chooser:   &dispatch.Chooser{Loads: loads},
 		Upstreams: Upstreams{Send: f.send},
-		Ensure: func(context.Context, string, string, string) (residency.Ensured, error) {
-			return residency.Ensured{Ready: 2 * time.Second}, residency.ErrNoPlace
+		Ensure: func(context.Context, string, string, string) (residency.EnsureResult, error) {
+			return residency.EnsureResult{Ready: 2 * time.Second}, residency.ErrNoPlace
 		},
-		Log: zap.NewNop(),
-		Set: metrics.NewSet(),
+		Log:     zap.NewNop(),
+		Metrics: metrics.NewSet(),
 	}
-	g.uses.running = map[residency.AdapterUse]int{}
+	g.uses.running = map[residency.ModelUse]int{}
 	g.budget = newRetryBudget(RetryLimits{Ratio: 0.2, Slack: 50}, func() int { return boxes })
 	route := func(path string, kind routes.Kind, service string, resumable bool) routes.Route {
 		return routes.Route{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,25 +14,26 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// ErrAborted says that an answer was begun and can't be completed: the door must break the
-// caller's connection, so that the answer does not look whole.
+// ErrAborted means that an answer was begun and can't be completed: whoever called Serve must break
+// the caller's connection, so that the answer does not look whole.
 const ErrAborted = errors.ConstError("answer can't be completed: the connection to the caller is broken off")
 
-// Gateway serves requests. New makes one; the fields stay as they are after the first request.
+// Gateway serves requests. New makes one; its exported fields must not change after the first
+// request.
 type Gateway struct {
 	Directory *fleet.Directory
 	Loads     *dispatch.LoadTracker
 	Chooser   *dispatch.Chooser
 	Upstreams Upstreams
 	// Ensure asks the order holder for an adapter or model.
-	Ensure func(ctx context.Context, service, model, adapter string) (residency.Ensured, error)
-	// Note takes work that was asked for, in milliseconds of an engine's time.
-	Note func(work map[residency.ModelKey]float64)
-	Log  *zap.Logger
-	Set  *metrics.Set
+	Ensure func(ctx context.Context, service, model, adapter string) (residency.EnsureResult, error)
+	// NoteDemand takes work that was asked for, in milliseconds of an engine's time.
+	NoteDemand func(work map[residency.ModelKey]float64)
+	Log        *zap.Logger
+	Metrics    *metrics.Set
 
 	budget *retryBudget
-	uses   adapterUses
+	uses   modelUses
 	table  atomic.Pointer[routes.Table]
 	flight atomic.Int64
 }
@@ -44,30 +45,30 @@
 	Chooser   *dispatch.Chooser
 	Upstreams Upstreams
 	// Ensure asks the order holder for an adapter or model.
-	Ensure func(ctx context.Context, service, model, adapter string) (residency.Ensured, error)
+	Ensure func(ctx context.Context, service, model, adapter string) (residency.EnsureResult, error)
 	// Note takes work that was asked for, in milliseconds of an engine's time.
 	Note func(work map[residency.ModelKey]float64)
-	// Retries bound the repeats of the whole fleet; each of Boxes boxes takes its share.
+	// Retries bound the retries of the whole fleet; each of Boxes boxes takes its share.
 	Retries RetryLimits
 	// Boxes returns the largest number of boxes that were known at once.
-	Boxes func() int
-	Log   *zap.Logger
-	Set   *metrics.Set
+	Boxes   func() int
+	Log     *zap.Logger
+	Metrics *metrics.Set
 }
 
 // New returns a gateway without a configuration: it refuses requests until SetTable.
 func New(config Config) *Gateway {
 	return &Gateway{
-		Directory: config.Directory,
-		Loads:     config.Loads,
-		Chooser:   config.Chooser,
-		Upstreams: config.Upstreams,
-		Ensure:    config.Ensure,
-		Note:      config.Note,
-		Log:       config.Log,
-		Set:       config.Set,
-		budget:    newRetryBudget(config.Retries, config.Boxes),
-		uses:      adapterUses{running: map[residency.AdapterUse]int{}},
+		Directory:  config.Directory,
+		Loads:      config.Loads,
+		Chooser:    config.Chooser,
+		Upstreams:  config.Upstreams,
+		Ensure:     config.Ensure,
+		NoteDemand: config.Note,
+		Log:        config.Log,
+		Metrics:    config.Metrics,
+		budget:     newRetryBudget(config.Retries, config.Boxes),
+		uses:       modelUses{running: map[residency.ModelUse]int{}},
 	}
 }
 
@@ -90,5 +91,5 @@
 // InFlight counts the requests under way.
 func (g *Gateway) InFlight() int64 { return g.flight.Load() }
 
-// AdapterUses lists what this box has running with adapters.
-func (g *Gateway) AdapterUses() []residency.AdapterUse { return g.uses.list() }
+// ModelUses lists what this box has running, by upstream, model and adapter.
+func (g *Gateway) ModelUses() []residency.ModelUse { return g.uses.list() }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -27,7 +27,7 @@
 }
 
 func newInflight(g *Gateway, table *routes.Table, route *routes.Route, request *Request) *inflight {
-	service := route.Pick(xxhash.Sum64String(request.ID))
+	service := route.PickService(xxhash.Sum64String(request.ID))
 	return &inflight{
 		gateway:   g,
 		request:   request,
@@ -41,7 +41,7 @@
 // requirements is what the request asks of an upstream. Only a service of engines is asked for a
 // model; service is nil if the table does not describe it.
 func requirements(service *routes.Service, route *routes.Route, request *Request, name string) dispatch.Requirements {
-	need := dispatch.Requirements{Service: name, Urgency: route.Priority}
+	need := dispatch.Requirements{Service: name, Urgency: route.Urgency}
 	if service == nil || service.Engines == nil || request.Model == "" {
 		return need
 	}
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -34,14 +34,14 @@
 }
 
 func (g *Gateway) countRefusal(refused *refusal) {
-	g.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_refusals_total{reason=%q}", refused.reason)).Inc()
+	g.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_refusals_total{reason=%q}", refused.reason)).Inc()
 }
 
 // logAttempt counts and logs an attempt without a good answer. took is the time to the head of the answer
 // or to the error; for a stream that broke, it is counted from the arrival of the request, and for a
 // plain answer that broke it is 0.
 func (r *inflight) logAttempt(choice dispatch.Choice, status int, took time.Duration, err error) {
-	r.gateway.Set.GetOrCreateCounter("ospreymoor_attempts_failed_total").Inc()
+	r.gateway.Metrics.GetOrCreateCounter("ospreymoor_attempts_failed_total").Inc()
 	load := r.gateway.Loads.Total(choice.Upstream.ID)
 	r.gateway.Log.Info("attempt failed",
 		zap.String("id", r.request.ID),
@@ -95,7 +95,7 @@
 
 // countEnd counts a request by its status, with the times to its first answer and to its end.
 func (r *inflight) countEnd(status int, first, took time.Duration) {
-	set, route := r.gateway.Set, r.route.Name
+	set, route := r.gateway.Metrics, r.route.Name
 	set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_requests_total{route=%q,status=%q}", route, fmt.Sprint(status))).Inc()
 	set.GetOrCreateHistogram(fmt.Sprintf("ospreymoor_first_answer_seconds{route=%q}", route)).Update(first.Seconds())
 	set.GetOrCreateHistogram(fmt.Sprintf("ospreymoor_request_seconds{route=%q}", route)).Update(took.Seconds())
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -51,7 +51,7 @@
 		return outcomeNotSent
 	case err != nil:
 		return outcomeBroken
-	case answer.Elsewhere:
+	case answer.Misdirected:
 		return outcomeElsewhere
 	case answer.NotExecuted:
 		return outcomeNotExecuted
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -20,7 +20,7 @@
 		},
 		Entry("not sent", nil, ErrNotSent, outcomeNotSent, attempts{}),
 		Entry("broken", nil, ErrBroken, outcomeBroken, attempts{reached: 1, mayHaveRun: 1}),
-		Entry("elsewhere", &Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true, Elsewhere: true}, nil, outcomeElsewhere, attempts{reached: 1}),
+		Entry("elsewhere", &Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true, Misdirected: true}, nil, outcomeElsewhere, attempts{reached: 1}),
 		Entry("not executed", &Answer{Status: http.StatusServiceUnavailable, NotExecuted: true}, nil, outcomeNotExecuted, attempts{reached: 1}),
 		Entry("failed", &Answer{Status: http.StatusInternalServerError}, nil, outcomeFailed, attempts{reached: 1, mayHaveRun: 1}),
 		Entry("answered", &Answer{Status: http.StatusBadRequest}, nil, outcomeAnswered, attempts{reached: 1, mayHaveRun: 1}),
--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -57,7 +57,7 @@
 	return max(directoryPoll, min(ensured.Ready, left/2)), nil
 }
 
-func (r *inflight) logNotProvided(ensured residency.Ensured, err error) {
+func (r *inflight) logNotProvided(ensured residency.EnsureResult, err error) {
 	r.gateway.Log.Info("model or adapter not provided in time",
 		zap.String("id", r.request.ID),
 		zap.String("model", r.need.Model),
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -37,9 +37,9 @@
 	Header http.Header
 	// NotExecuted is set if the upstream did not run the request and never will.
 	NotExecuted bool
-	// Elsewhere is set if another upstream has the address, or if this one lacks the model. Such an
+	// Misdirected is set if another upstream has the address, or if this one lacks the model. Such an
 	// answer is NotExecuted too.
-	Elsewhere bool
+	Misdirected bool
 	// Body ends with io.EOF only if it is whole.
 	Body io.ReadCloser
 }
--- a/internal/gateway/uses.go
+++ b/internal/gateway/uses.go
@@ -6,15 +6,15 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// adapterUses counts what this box has running with adapters. It is safe for concurrent use.
-type adapterUses struct {
+// modelUses counts what this box has running with adapters. It is safe for concurrent use.
+type modelUses struct {
 	mu sync.Mutex
 	// running by use, the Running field left at 0.
-	running map[residency.AdapterUse]int
+	running map[residency.ModelUse]int
 }
 
 // begin notes a request that uses an adapter, and returns the function to call at its end.
-func (u *adapterUses) begin(use residency.AdapterUse) (end func()) {
+func (u *modelUses) begin(use residency.ModelUse) (end func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running[use]++
@@ -28,10 +28,10 @@
 }
 
 // list returns all uses.
-func (u *adapterUses) list() []residency.AdapterUse {
+func (u *modelUses) list() []residency.ModelUse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	uses := make([]residency.AdapterUse, 0, len(u.running))
+	uses := make([]residency.ModelUse, 0, len(u.running))
 	for use, running := range u.running {
 		use.Running = running
 		uses = append(uses, use)
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -117,7 +117,7 @@
 		Retries:   config.Retries,
 		Boxes:     s.members.Boxes,
 		Log:       config.Log,
-		Set:       config.Set,
+		Metrics:   config.Set,
 	})
 }
 
@@ -138,18 +138,18 @@
 
 func (n *Node) newExchange(config Config, s shared) *cluster.Exchange {
 	return cluster.NewExchange(cluster.Config{
-		Seeds:       config.Seeds,
-		Members:     s.members,
-		Pending:     s.pending,
-		Client:      n.client,
-		Mirror:      n.view.Mirror(),
-		Directory:   s.directory,
-		Loads:       s.loads,
-		Demand:      s.demand,
-		Controller:  n.controller,
-		AdapterUses: n.Gateway.AdapterUses,
-		Leaving:     n.leaving.Load,
-		Dropped:     n.view.NoteChanges,
-		Log:         config.Log,
+		Seeds:      config.Seeds,
+		Members:    s.members,
+		Pending:    s.pending,
+		Client:     n.client,
+		Mirror:     n.view.Mirror(),
+		Directory:  s.directory,
+		Loads:      s.loads,
+		Demand:     s.demand,
+		Controller: n.controller,
+		ModelUses:  n.Gateway.ModelUses,
+		Leaving:    n.leaving.Load,
+		Dropped:    n.view.NoteChanges,
+		Log:        config.Log,
 	})
 }
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -119,7 +119,7 @@
 	term, err := l.lease.Term()
 	if err != nil {
 		// The lease ran out. If no box reaches the store, none can have taken it.
-		term = l.lease.Claim().Term
+		term = l.lease.Tenure().Term
 		if term == 0 || !l.Peers.StoreLostByAll() {
 			return 0, errors.WithType(err, residency.ErrNotHolder)
 		}
@@ -150,7 +150,7 @@
 // box holds, is contended for soon.
 func (l *Lease) Observe(state mirror.State) {
 	record, held := state.Records[l.key]
-	ours := held && string(record.Value) == l.Name && l.lease.Claim().Term == 0
+	ours := held && string(record.Value) == l.Name && l.lease.Tenure().Term == 0
 	if !held || ours {
 		l.wakeSoon()
 	}
--- a/internal/orderlease/resign.go
+++ b/internal/orderlease/resign.go
@@ -25,7 +25,7 @@
 // ctx ends.
 func (l *Lease) ResignWhenCutOff(ctx context.Context) {
 	for pause.For(ctx, resignCheck) == nil {
-		claim := l.lease.Claim()
+		claim := l.lease.Tenure()
 		if claim.Term == 0 || time.Since(claim.Renewed) < resignAfter {
 			continue
 		}
--- a/internal/storeview/storeview_test.go
+++ b/internal/storeview/storeview_test.go
@@ -85,7 +85,7 @@
 			"config": "1", "servers/e1": "e1", "own/nodes/a": `{"name":"a","address":"a:1"}`,
 		}))
 		Expect(f.tables).To(HaveLen(1))
-		Expect(f.directory.Of("s")).To(HaveLen(1))
+		Expect(f.directory.OfService("s")).To(HaveLen(1))
 		address, ok := f.members.AddressOf("a")
 		Expect(ok).To(BeTrue())
 		Expect(address).To(Equal("a:1"))
@@ -96,7 +96,7 @@
 		f.take(stateOf(3, map[string]string{
 			"config": "bad", "servers/e1": "bad", "servers/e2": "e2", "own/nodes/a": "{", "own/nodes/c": `{"name":"c"}`,
 		}))
-		Expect(f.directory.Of("s")).To(HaveLen(1))
+		Expect(f.directory.OfService("s")).To(HaveLen(1))
 		_, ok := f.members.AddressOf("c")
 		Expect(ok).To(BeTrue())
 		for _, text := range []string{"configuration unreadable: the former one stays in force", "upstream entry unreadable", "box record unreadable"} {
--- a/pkg/dispatch/fleet_test.go
+++ b/pkg/dispatch/fleet_test.go
@@ -19,7 +19,7 @@
 		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", i), Service: "s", Hall: "z", Slots: 8, Revision: 1})
 	}
 	directory.SetList(1, list, time.Time{})
-	return directory.Of("s")
+	return directory.OfService("s")
 }
 
 func need(own string) dispatch.Requirements {
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -55,8 +55,8 @@
 	return d.states[id]
 }
 
-// Of returns the upstreams of a service, in the order of their ids; the caller must not change it.
-func (d *Directory) Of(service string) []*State {
+// OfService returns the upstreams of a service, in the order of their ids; the caller must not change it.
+func (d *Directory) OfService(service string) []*State {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.byService[service]
--- a/pkg/fleet/eligible.go
+++ b/pkg/fleet/eligible.go
@@ -36,9 +36,9 @@
 	return adapter == "" || slices.Contains(s.adapters[model], adapter)
 }
 
-// Missing reports whether a mark is set on the upstream, or on the model and adapter that a request
+// Unavailable reports whether a mark is set on the upstream, or on the model and adapter that a request
 // needs. Both are "" for a request to a plain service.
-func (d *Directory) Missing(upstream, model, adapter string) bool {
+func (d *Directory) Unavailable(upstream, model, adapter string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if len(d.marks) == 0 {
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 		}
 		Expect(kinds).To(Equal(map[string]fleet.ChangeKind{"e1": fleet.Leaving, "e2": fleet.Removed, "e3": fleet.Joined}))
 		Expect(d.SetList(11, nil, time.Time{})).To(BeEmpty())
-		Expect(d.Of("s")).To(HaveLen(2))
+		Expect(d.OfService("s")).To(HaveLen(2))
 	})
 
 	It("joins what the order holder publishes, newest term and sequence first", func() {
@@ -119,7 +119,7 @@
 			d.SetList(9, []fleet.Upstream{again}, current)
 			present := func() []string {
 				var ids []string
-				for _, state := range d.Of("s") {
+				for _, state := range d.OfService("s") {
 					ids = append(ids, state.ID)
 				}
 				return ids
@@ -148,7 +148,7 @@
 				d.MarkUnreachable("e1")
 				d.MarkUnreachable("e1") // Another attempt that was under way does not count.
 				begun := time.Now()
-				for d.Missing("e1", "", "") {
+				for d.Unavailable("e1", "", "") {
 					time.Sleep(10 * time.Millisecond)
 				}
 				return time.Since(begun)
@@ -163,12 +163,12 @@
 	It("marks for a while what an engine lacks, and an upstream that takes no connection", func() {
 		spectest.Bubble(func() {
 			d.MarkMissing("e1", "m1", "a1")
-			Expect(d.Missing("e1", "m1", "a1")).To(BeTrue())
-			Expect(d.Missing("e1", "m1", "a2")).To(BeFalse())
+			Expect(d.Unavailable("e1", "m1", "a1")).To(BeTrue())
+			Expect(d.Unavailable("e1", "m1", "a2")).To(BeFalse())
 			d.MarkUnreachable("e2")
-			Expect(d.Missing("e2", "any", "")).To(BeTrue())
+			Expect(d.Unavailable("e2", "any", "")).To(BeTrue())
 			d.MarkMissing("e2", "", "")
-			Expect(d.Missing("e2", "any", "")).To(BeTrue())
+			Expect(d.Unavailable("e2", "any", "")).To(BeTrue())
 		})
 	})
 })
--- a/pkg/fleet/marks.go
+++ b/pkg/fleet/marks.go
@@ -67,9 +67,9 @@
 	delete(d.refusals, upstream)
 }
 
-// ForgetExpired drops the marks that have ended. The caller calls it regularly, since marks of
+// ExpireMarks drops the marks that have ended. The caller calls it regularly, since marks of
 // upstreams that are gone are dropped nowhere else.
-func (d *Directory) ForgetExpired() {
+func (d *Directory) ExpireMarks() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/pkg/fleet/upstream.go
+++ b/pkg/fleet/upstream.go
@@ -10,8 +10,8 @@
 	// Address is IP:PORT.
 	Address string
 	Hall    string
-	// Version of its software.
-	Version string
+	// SoftwareVersion of its software.
+	SoftwareVersion string
 	// Slots is how many requests it works on at once.
 	Slots int
 	// Leaving upstreams get nothing new.
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -125,21 +125,21 @@
 	return l.latest
 }
 
-// Claim is a lease that was gained and not given up, though its time may have run out.
-type Claim struct {
+// Tenure is a lease that was gained and not given up, though its time may have run out.
+type Tenure struct {
 	// Term of the lease; 0 if it is not held.
 	Term int64
 	// Renewed is when the last successful renewal was sent; without meaning at Term 0.
 	Renewed time.Time
 }
 
-// Claim returns what is held, also when its time is over and the store has not confirmed that it is
+// Tenure returns what is held, also when its time is over and the store has not confirmed that it is
 // lost. A holder may act under it only if no other process can have gained the lease, as while no box
 // reaches the store; and it shows for how long renewals fail.
-func (l *Lease) Claim() Claim {
+func (l *Lease) Tenure() Tenure {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Claim{Term: l.term, Renewed: l.until.Add(l.config.Margin - l.config.TTL)}
+	return Tenure{Term: l.term, Renewed: l.until.Add(l.config.Margin - l.config.TTL)}
 }
 
 // Abandon stops acting under terms below the given one. A holder calls it when another process
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -76,9 +76,9 @@
 	return m.state
 }
 
-// Age returns how long ago the service itself confirmed that the copy is current; negative if it
+// StoreAge returns how long ago the service itself confirmed that the copy is current; negative if it
 // never did.
-func (m *Mirror) Age() time.Duration {
+func (m *Mirror) StoreAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return since(m.freshness.byStore)
--- a/pkg/residency/adapterplace.go
+++ b/pkg/residency/adapterplace.go
@@ -30,7 +30,7 @@
 	var best *engine
 	var slow adapterLoad
 	bestCost := 0
-	for _, state := range c.Directory.Of(service) {
+	for _, state := range c.Directory.OfService(service) {
 		if state.Leaving || !state.Holds(key.model) || slices.Contains(tried, state.ID) || c.unresponsive(state.ID) {
 			continue
 		}
--- a/pkg/residency/adapterstate.go
+++ b/pkg/residency/adapterstate.go
@@ -46,8 +46,8 @@
 	return s.phase == phaseLoaded && s.running == 0 && now.Sub(s.used) >= adapterIdleTime
 }
 
-// AdapterUse is what runs with an adapter on an engine.
-type AdapterUse struct {
+// ModelUse is what runs with an adapter on an engine.
+type ModelUse struct {
 	Upstream string `json:"b"`
 	Model    string `json:"m"`
 	// Adapter is empty for requests of the model itself.
@@ -56,15 +56,15 @@
 	Running int `json:"r,omitempty"`
 }
 
-// SetAdapterUses takes what all boxes have running with adapters: the adapter unused longest is
+// SetModelUses takes what all boxes have running with adapters: the adapter unused longest is
 // evicted first, and none that is in use.
-func (c *Controller) SetAdapterUses(uses []AdapterUse) {
+func (c *Controller) SetModelUses(uses []ModelUse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	running := make(map[AdapterUse]int, len(uses))
+	running := make(map[ModelUse]int, len(uses))
 	for _, use := range uses {
-		running[AdapterUse{Upstream: use.Upstream, Model: use.Model, Adapter: use.Adapter}] += use.Running
+		running[ModelUse{Upstream: use.Upstream, Model: use.Model, Adapter: use.Adapter}] += use.Running
 	}
 	changed := maps.Clone(running)
 	maps.Copy(changed, c.uses)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (e *engine) setUse(use AdapterUse, running int, now time.Time) {
+func (e *engine) setUse(use ModelUse, running int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if state := e.adapters[adapterKey{use.Model, use.Adapter}]; state != nil {
--- a/pkg/residency/controller.go
+++ b/pkg/residency/controller.go
@@ -56,7 +56,7 @@
 	// loadEnds is when a model's last planned load will probably be done.
 	loadEnds map[ModelKey]time.Time
 	// uses is what all boxes have running with adapters.
-	uses      map[AdapterUse]int
+	uses      map[ModelUse]int
 	storeRate storeRate
 	// lastOrders is when each engine was last given an order, under any term.
 	lastOrders map[string]time.Time
@@ -112,7 +112,7 @@
 }
 
 func (c *Controller) planService(name string, service *routes.Service, now time.Time) {
-	states := c.Directory.Of(name)
+	states := c.Directory.OfService(name)
 	if len(states) == 0 {
 		return
 	}
@@ -147,7 +147,7 @@
 // replicas counts the engines that may be sent requests for a model.
 func (c *Controller) replicas(service, model string) int {
 	n := 0
-	for _, state := range c.Directory.Of(service) {
+	for _, state := range c.Directory.OfService(service) {
 		if !state.Leaving && !c.unresponsive(state.ID) && state.Holds(model) {
 			n++
 		}
--- a/pkg/residency/ensure.go
+++ b/pkg/residency/ensure.go
@@ -9,8 +9,8 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// Ensured is where what was asked for is, or when it will be there.
-type Ensured struct {
+// EnsureResult is where what was asked for is, or when it will be there.
+type EnsureResult struct {
 	// Upstream has it now; empty if none does yet.
 	Upstream string `json:"backend,omitempty"`
 	// Residency of that engine.
@@ -28,31 +28,31 @@
 // Ensure has an adapter of a model loaded on an engine that holds the model, and returns where.
 // For a model that no engine holds it returns ErrNoPlace at once, with the time until the load is
 // done. Other errors are those of Config.Term, ErrUnknownModel, ErrFailed and the context's.
-func (c *Controller) Ensure(ctx context.Context, service, model, adapter string) (Ensured, error) {
+func (c *Controller) Ensure(ctx context.Context, service, model, adapter string) (EnsureResult, error) {
 	term, err := c.Term()
 	if err != nil {
-		return Ensured{}, err
+		return EnsureResult{}, err
 	}
 	c.enter(term)
 	engines, described := c.model(service, model)
 	if described == nil {
-		return Ensured{}, ErrUnknownModel
+		return EnsureResult{}, ErrUnknownModel
 	}
 	if c.replicas(service, model) == 0 {
-		return Ensured{Ready: c.noteMissed(service, model), Term: term}, ErrNoPlace
+		return EnsureResult{Ready: c.noteMissed(service, model), Term: term}, ErrNoPlace
 	}
 	if adapter == "" {
-		return Ensured{Term: term}, nil
+		return EnsureResult{Term: term}, nil
 	}
 	target, err := c.ensureAdapter(ctx, service, engines, adapterKey{model, adapter})
 	if target != nil {
-		return Ensured{Upstream: target.id, Residency: target.residency(), Term: term}, nil
+		return EnsureResult{Upstream: target.id, Residency: target.residency(), Term: term}, nil
 	}
 	if errors.Is(err, ErrNoPlace) {
 		c.Demand.Note(map[ModelKey]float64{{service, model}: crowdedWork}, time.Now())
-		return Ensured{Ready: adapterIdleTime / 2, Term: term}, err
+		return EnsureResult{Ready: adapterIdleTime / 2, Term: term}, err
 	}
-	return Ensured{Ready: adapterTime, Term: term}, err
+	return EnsureResult{Ready: adapterTime, Term: term}, err
 }
 
 // noteMissed notes that a model is asked for which no engine holds, and returns after how long it
--- a/pkg/residency/firstreplica.go
+++ b/pkg/residency/firstreplica.go
@@ -63,10 +63,10 @@
 
 func newMove(e *planEngine, model *PlanModel, evict []string, reason string) Move {
 	return Move{
-		Engine:   e.ID,
-		Model:    model.Name,
-		Evict:    evict,
-		FromDisk: e.OnDisk[model.Name],
-		Reason:   reason,
+		Engine:    e.ID,
+		Model:     model.Name,
+		Evictions: evict,
+		FromDisk:  e.OnDisk[model.Name],
+		Reason:    reason,
 	}
 }
--- a/pkg/residency/fleet_test.go
+++ b/pkg/residency/fleet_test.go
@@ -38,7 +38,7 @@
 func (f *fakeEngine) order(order residency.Order) residency.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.busy || order.Expected != f.taken {
+	if f.busy || order.ExpectedCount != f.taken {
 		return residency.Conflict
 	}
 	adapters, held := f.models[order.Model]
@@ -127,7 +127,7 @@
 // newTestFleet returns three engines, each with one of seven models that have adapters.
 func newTestFleet(seed uint64, faults float64) *testFleet {
 	engines := &routes.Engines{
-		Slots: 8, Megabytes: engineMegabytes, AdapterSlots: adapterSlots, LoadsPerSecond: 2, DiskMegabytes: 500,
+		Slots: 8, MemoryMegabytes: engineMegabytes, AdapterSlots: adapterSlots, LoadsPerSecond: 2, DiskMegabytes: 500,
 	}
 	for n := range 7 {
 		engines.Models = append(engines.Models, testModel(fmt.Sprint("m", n), "a0", "a1", "a2", "a3", "a4"))
--- a/pkg/residency/memory.go
+++ b/pkg/residency/memory.go
@@ -6,7 +6,7 @@
 func (e *engine) fitsModel(service *routes.Service, model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.usedMegabytes(service)+service.Model(model).Megabytes <= service.Engines.Megabytes
+	return e.usedMegabytes(service)+service.Model(model).Megabytes <= service.Engines.MemoryMegabytes
 }
 
 // fitsAdapters reports whether all adapters fit that take a place.
@@ -22,7 +22,7 @@
 	if service == nil {
 		return false
 	}
-	return len(e.adapters) <= service.Engines.AdapterSlots && e.usedMegabytes(service) <= service.Engines.Megabytes
+	return len(e.adapters) <= service.Engines.AdapterSlots && e.usedMegabytes(service) <= service.Engines.MemoryMegabytes
 }
 
 // usedMegabytes is the memory that models and adapters take. The caller holds the lock.
--- a/pkg/residency/move.go
+++ b/pkg/residency/move.go
@@ -35,7 +35,7 @@
 	c.logMove(move)
 	e.update(func() {
 		e.move.loading = move.Model
-		e.move.withdrawn = move.Evict
+		e.move.withdrawn = move.Evictions
 	})
 	go e.runMove(service, move)
 }
@@ -44,7 +44,7 @@
 	c.Log.Info("move started",
 		zap.String("engine", move.Engine),
 		zap.String("model", move.Model),
-		zap.Strings("evicted", move.Evict),
+		zap.Strings("evicted", move.Evictions),
 		zap.Bool("fromDisk", move.FromDisk),
 		zap.String("reason", move.Reason),
 		zap.Strings("held", move.Held),
@@ -56,7 +56,7 @@
 // moveTime is how long a move will probably take.
 func moveTime(model *routes.Model, move Move) time.Duration {
 	span := loadTime(model, move.FromDisk)
-	if len(move.Evict) > 0 {
+	if len(move.Evictions) > 0 {
 		span += noticeTime + unloadTime
 	}
 	return span
@@ -99,10 +99,10 @@
 
 // giveMoveOrders waits until the evicted models have no requests, and gives a move's orders.
 func (e *engine) giveMoveOrders(ctx context.Context, service *routes.Service, move Move) moveResult {
-	if len(move.Evict) > 0 && pause.For(ctx, noticeTime) != nil {
+	if len(move.Evictions) > 0 && pause.For(ctx, noticeTime) != nil {
 		return moveResult{}
 	}
-	e.awaitDrained(ctx, move.Evict)
+	e.awaitDrained(ctx, move.Evictions)
 	if e.lockOrders(ctx) != nil {
 		return moveResult{}
 	}
@@ -113,7 +113,7 @@
 	if e.learnCount(ctx) != nil {
 		return moveResult{}
 	}
-	for _, model := range move.Evict {
+	for _, model := range move.Evictions {
 		if !e.unloadModel(ctx, model) {
 			return moveResult{}
 		}
--- a/pkg/residency/order.go
+++ b/pkg/residency/order.go
@@ -23,8 +23,8 @@
 	Model     string
 	// Adapter is empty for the model itself.
 	Adapter string
-	// Expected is the number of orders that the engine must have taken so far.
-	Expected int64
+	// ExpectedCount is the number of orders that the engine must have taken so far.
+	ExpectedCount int64
 	// Holder is the box that gives the order, and Term that of its lease.
 	Holder string
 	Term   int64
--- a/pkg/residency/orderround.go
+++ b/pkg/residency/orderround.go
@@ -136,7 +136,7 @@
 		return Gone, ErrFailed
 	}
 	e.mu.Lock()
-	order.Expected = e.orders.count
+	order.ExpectedCount = e.orders.count
 	e.orders.lastSent = time.Now()
 	e.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -203,7 +203,7 @@
 		zap.String("operation", string(order.Operation)),
 		zap.String("model", order.Model),
 		zap.String("adapter", order.Adapter),
-		zap.Int64("expected", order.Expected),
+		zap.Int64("expected", order.ExpectedCount),
 		zap.Int64("term", order.Term),
 		zap.Stringer("result", result),
 		logfield.Error(err))
--- a/pkg/residency/permission.go
+++ b/pkg/residency/permission.go
@@ -44,7 +44,7 @@
 	c.engines = map[string]*engine{}
 	c.missed = map[ModelKey]time.Time{}
 	c.loadEnds = map[ModelKey]time.Time{}
-	c.uses = map[AdapterUse]int{}
+	c.uses = map[ModelUse]int{}
 	c.storeRate = storeRate{}
 }
 
--- a/pkg/residency/plan.go
+++ b/pkg/residency/plan.go
@@ -59,8 +59,8 @@
 type Move struct {
 	Engine string
 	Model  string
-	// Evict are the models to unload first, in this order.
-	Evict []string
+	// Evictions are the models to unload first, in this order.
+	Evictions []string
 	// FromDisk reports that the engine's disk has the model, so that the weight store is not used.
 	FromDisk bool
 	// Benefit is how much the sum of the engines' squared work falls beyond the move's cost. It is
--- a/pkg/residency/plan_test.go
+++ b/pkg/residency/plan_test.go
@@ -43,7 +43,7 @@
 		}
 		in.Models = []residency.PlanModel{planModel("a", 0), planModel("b", 0), planModel("c", 0), planModel("d", 3)}
 		for _, move := range residency.Plan(in) {
-			Expect(move.Evict).NotTo(ContainElement("a"))
+			Expect(move.Evictions).NotTo(ContainElement("a"))
 		}
 	})
 
@@ -58,7 +58,7 @@
 		Expect(moves).To(HaveLen(1))
 		Expect(moves[0].Engine).To(Equal("e2"))
 		Expect(moves[0].Model).To(Equal("busy"))
-		Expect(moves[0].Evict).To(Equal([]string{"quiet"}))
+		Expect(moves[0].Evictions).To(Equal([]string{"quiet"}))
 	})
 
 	It("moves nothing where the benefit is small, and evicts no model that was just loaded", func() {
@@ -154,7 +154,7 @@
 		moves := residency.Plan(in)
 		Expect(moves).To(HaveLen(1))
 		Expect(moves[0].Engine).To(Equal("e2"))
-		Expect(moves[0].Evict).To(Equal([]string{"other"}))
+		Expect(moves[0].Evictions).To(Equal([]string{"other"}))
 		Expect(moves[0].Benefit).To(BeNumerically("~", worth, 1e-12))
 		in.Engines[2].Hall = "z1"
 		moves = residency.Plan(in)
@@ -206,7 +206,7 @@
 						used += size[name]
 					}
 				}
-				for _, name := range move.Evict {
+				for _, name := range move.Evictions {
 					used -= size[name]
 					held[name]--
 					if held[name] < 1 {
--- a/pkg/residency/planinput.go
+++ b/pkg/residency/planinput.go
@@ -28,7 +28,7 @@
 // reports that are missing. The caller holds the lock.
 func (c *Controller) planInput(name string, service *routes.Service, states []*fleet.State, now time.Time) PlanInput {
 	input := PlanInput{
-		Megabytes:  service.Engines.Megabytes,
+		Megabytes:  service.Engines.MemoryMegabytes,
 		MoveCost:   c.MoveCost,
 		Moves:      max(minMoves, len(states)/enginesPerMove),
 		StoreLoads: c.storeRate.left(now),
--- a/pkg/residency/planner.go
+++ b/pkg/residency/planner.go
@@ -110,7 +110,7 @@
 	move.Held = slices.Clone(e.Models)
 	move.Demand = p.models[move.Model].Demand
 	move.Replicas = p.replicas[move.Model]
-	for _, name := range move.Evict {
+	for _, name := range move.Evictions {
 		p.evict(e, name)
 	}
 	e.Models = append(e.Models, move.Model)
--- a/pkg/residency/prefetch.go
+++ b/pkg/residency/prefetch.go
@@ -21,7 +21,7 @@
 	rates := c.Demand.Rates(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	states := c.Directory.Of(name)
+	states := c.Directory.OfService(name)
 	present := c.adaptersPresent(states)
 	for _, state := range states {
 		e := c.engines[state.ID]
--- a/pkg/residency/storerate_test.go
+++ b/pkg/residency/storerate_test.go
@@ -24,7 +24,7 @@
 // storeFleet is engines with the models given, and a service of models that are wanted, w0 and so
 // on, beside those held.
 func storeFleet(engines int, held []string, wanted int) (t *testFleet, names []string) {
-	described := &routes.Engines{Slots: 8, Megabytes: engineMegabytes, AdapterSlots: adapterSlots, LoadsPerSecond: 2}
+	described := &routes.Engines{Slots: 8, MemoryMegabytes: engineMegabytes, AdapterSlots: adapterSlots, LoadsPerSecond: 2}
 	for _, name := range held {
 		described.Models = append(described.Models, testModel(name))
 	}
@@ -106,18 +106,18 @@
 		spectest.Bubble(func() {
 			t, wanted := storeFleet(16, []string{"h0", "h1", "h2"}, 12)
 			t.controller.MoveCost = 0.001
-			var uses []residency.AdapterUse
+			var uses []residency.ModelUse
 			for id := range t.engines {
 				for _, model := range []string{"h0", "h1", "h2"} {
-					uses = append(uses, residency.AdapterUse{Upstream: id, Model: model, Running: 1})
+					uses = append(uses, residency.ModelUse{Upstream: id, Model: model, Running: 1})
 				}
 			}
 			// Requests of the models to evict run until 3.4 s: all moves planned until then wait.
-			time.AfterFunc(150*time.Millisecond, func() { t.controller.SetAdapterUses(uses) })
+			time.AfterFunc(150*time.Millisecond, func() { t.controller.SetModelUses(uses) })
 			for at := 200 * time.Millisecond; at < 3400*time.Millisecond; at += 50 * time.Millisecond {
-				time.AfterFunc(at, func() { t.controller.SetAdapterUses(uses) })
+				time.AfterFunc(at, func() { t.controller.SetModelUses(uses) })
 			}
-			time.AfterFunc(3400*time.Millisecond, func() { t.controller.SetAdapterUses(nil) })
+			time.AfterFunc(3400*time.Millisecond, func() { t.controller.SetModelUses(nil) })
 			sent := t.noteOrders()
 			t.run(20*time.Second, wanted...)
 			at := storeLoads(sent())
--- a/pkg/routes/routes.go
+++ b/pkg/routes/routes.go
@@ -51,9 +51,9 @@
 	// MaxAttempts is the largest number of attempts of one request that may run. An attempt that its
 	// upstream did not execute does not count.
 	MaxAttempts int
-	// Priority ranks routes; 0 is the most urgent.
-	Priority int
-	Shares   []Share
+	// Urgency ranks routes; 0 is the most urgent.
+	Urgency int
+	Shares  []Share
 }
 
 // Idempotent reports whether a request of the route may run more than once.
@@ -61,9 +61,9 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick returns the service that a request goes to; empty if no share has a weight. point is a number
+// PickService returns the service that a request goes to; empty if no share has a weight. point is a number
 // that is spread evenly over requests and the same for every attempt of one.
-func (r *Route) Pick(point uint64) string {
+func (r *Route) PickService(point uint64) string {
 	total := 0
 	for _, share := range r.Shares {
 		total += share.Weight
--- a/pkg/routes/routes_test.go
+++ b/pkg/routes/routes_test.go
@@ -44,11 +44,11 @@
 		route := routes.Route{Shares: []routes.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 		counts := map[string]int{}
 		for point := range uint64(1000) {
-			counts[route.Pick(point)]++
-			Expect(route.Pick(point)).To(Equal(route.Pick(point)))
+			counts[route.PickService(point)]++
+			Expect(route.PickService(point)).To(Equal(route.PickService(point)))
 		}
 		Expect(counts).To(Equal(map[string]int{"a": 900, "b": 100}))
-		Expect((&routes.Route{}).Pick(1)).To(BeEmpty())
+		Expect((&routes.Route{}).PickService(1)).To(BeEmpty())
 	})
 
 	It("knows what may run more than once", func() {
--- a/pkg/routes/service.go
+++ b/pkg/routes/service.go
@@ -36,8 +36,8 @@
 	Slots int
 	// CacheTokens is an engine's memory for prompts and answers, in tokens.
 	CacheTokens int
-	// Megabytes is an engine's memory for weights and adapters together.
-	Megabytes float64
+	// MemoryMegabytes is an engine's memory for weights and adapters together.
+	MemoryMegabytes float64
 	// AdapterSlots is how many adapters an engine holds at once.
 	AdapterSlots int
 	// DiskMegabytes is an engine's disk for weights; those unused longest are removed first.
