--- a/internal/box/beats.go
+++ b/internal/box/beats.go
@@ -91,8 +91,8 @@
 
 // newBeat describes this box, with what changed since the last beat, and now and then with
 // all generations, for those that missed a beat.
-func (b *Box) newBeat(s *said) peer.Beat {
-	beat := peer.Beat{
+func (b *Box) newBeat(s *said) peer.Heartbeat {
+	beat := peer.Heartbeat{
 		Peer:        b.self(),
 		Generations: map[string]records.Generation{},
 		Sent:        map[string]int64{},
@@ -126,11 +126,11 @@
 	}
 }
 
-func (b *Box) beatTo(ctx context.Context, address string, message peer.Beat) {
+func (b *Box) beatTo(ctx context.Context, address string, message peer.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTime)
 	defer cancel()
 	// Each side learns of the other from one exchange, also when only one has the other's address.
-	answer, err := peer.Call[peer.Beat](ctx, b.peers, address, peer.MethodBeat, message)
+	answer, err := peer.Call[peer.Heartbeat](ctx, b.peers, address, peer.MethodHeartbeat, message)
 	if err != nil {
 		b.set.GetOrCreateCounter("ospreymoor_beat_failures_total").Inc()
 		return
@@ -141,7 +141,7 @@
 }
 
 // hear takes a beat in, and fetches what its sender has newer.
-func (b *Box) hear(beat peer.Beat) {
+func (b *Box) hear(beat peer.Heartbeat) {
 	b.view.Hear(beat.Peer)
 	b.sent.hear(beat.Peer.Incarnation, beat.Sent)
 	for _, id := range beat.Leaving {
@@ -188,7 +188,7 @@
 
 // handlePeers answers the calls of other boxes.
 func (b *Box) handlePeers() {
-	peer.Handle(b.server, peer.MethodBeat, b.answerBeat)
+	peer.Handle(b.server, peer.MethodHeartbeat, b.answerBeat)
 	peer.Handle(b.server, peer.MethodRecords, func(_ context.Context, q peer.RecordsRequest) (peer.RecordsResponse, error) {
 		var answer peer.RecordsResponse
 		for _, name := range q.Names {
@@ -198,14 +198,14 @@
 		}
 		return answer, nil
 	})
-	peer.Handle(b.server, peer.MethodAnswer, func(ctx context.Context, q peer.AnswerRequest) (peer.AnswerResponse, error) {
+	peer.Handle(b.server, peer.MethodOutcome, func(ctx context.Context, q peer.OutcomeRequest) (peer.OutcomeResponse, error) {
 		return b.fates.wait(ctx, q.RequestID, q.Wait), nil
 	})
 	peer.Handle(b.server, peer.MethodDemand, func(_ context.Context, d peer.Demand) (peer.Empty, error) {
 		b.demand.hear(d)
 		return peer.Empty{}, nil
 	})
-	peer.Handle(b.server, peer.MethodKeep, func(_ context.Context, q peer.KeepRequest) (peer.Empty, error) {
+	peer.Handle(b.server, peer.MethodKeepBurn, func(_ context.Context, q peer.KeepBurnRequest) (peer.Empty, error) {
 		b.keeper.Keep(q.Snapshot)
 		return peer.Empty{}, nil
 	})
@@ -217,13 +217,13 @@
 // answerBeat takes a beat in and replies with this box's own; but for a box of the same
 // hall, which gets our beats anyway. The reply tells all generations only to a full beat or
 // to a box that is starting up.
-func (b *Box) answerBeat(_ context.Context, beat peer.Beat) (peer.Beat, error) {
+func (b *Box) answerBeat(_ context.Context, beat peer.Heartbeat) (peer.Heartbeat, error) {
 	b.hear(beat)
 	starting := startingUp(beat)
 	if beat.Peer.Hall == b.config.Hall && !starting {
-		return peer.Beat{}, nil
+		return peer.Heartbeat{}, nil
 	}
-	reply := peer.Beat{Peer: b.self(), Leaving: b.view.MarkedLeaving()}
+	reply := peer.Heartbeat{Peer: b.self(), Leaving: b.view.MarkedLeaving()}
 	reply.Generations = b.cache.Generations(func(name string) bool {
 		return strings.HasPrefix(name, fleetPrefix) || (shared(name) && (starting || beat.Full))
 	})
@@ -231,7 +231,7 @@
 }
 
 // startingUp tells whether a beat comes from a box that has nothing to serve by yet.
-func startingUp(beat peer.Beat) bool {
+func startingUp(beat peer.Heartbeat) bool {
 	_, ok := beat.Generations[bundle.TableKey]
 	return !ok
 }
--- a/internal/box/burn.go
+++ b/internal/box/burn.go
@@ -30,11 +30,11 @@
 		ids = append(ids, p.ID)
 		addresses[p.ID] = p.Address
 	}
-	request := peer.KeepRequest{Snapshot: b.burn.Snapshot()}
+	request := peer.KeepBurnRequest{Snapshot: b.burn.Snapshot()}
 	ranked := membership.Rank("burn/"+b.config.ID, ids)
 	for _, id := range ranked[:min(burnKeepers, len(ranked))] {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTime)
-		_, err := peer.Call[peer.Empty](callCtx, b.peers, addresses[id], peer.MethodKeep, request)
+		_, err := peer.Call[peer.Empty](callCtx, b.peers, addresses[id], peer.MethodKeepBurn, request)
 		cancel()
 		if err != nil {
 			b.set.GetOrCreateCounter("ospreymoor_burn_keep_failures_total").Inc()
--- a/internal/box/fates.go
+++ b/internal/box/fates.go
@@ -28,7 +28,7 @@
 
 // fate is what became of one claimed request.
 type fate struct {
-	state  peer.Fate
+	state  peer.RunOutcome
 	answer *peer.Answer
 	ended  chan struct{}
 }
@@ -39,7 +39,7 @@
 func (f *fates) begin(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.byID[id] = &fate{state: peer.FateRunning, ended: make(chan struct{})}
+	f.byID[id] = &fate{state: peer.RunRunning, ended: make(chan struct{})}
 	f.order = append(f.order, id)
 	f.trim()
 }
@@ -50,15 +50,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entry := f.byID[id]
-	return entry != nil && entry.state == peer.FateRunning
+	return entry != nil && entry.state == peer.RunRunning
 }
 
 // end notes a request's fate, with its answer if it is to be kept.
-func (f *fates) end(id string, state peer.Fate, answer *peer.Answer) {
+func (f *fates) end(id string, state peer.RunOutcome, answer *peer.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entry := f.byID[id]
-	if entry == nil || entry.state != peer.FateRunning {
+	if entry == nil || entry.state != peer.RunRunning {
 		return
 	}
 	entry.state, entry.answer = state, answer
@@ -70,12 +70,12 @@
 }
 
 // wait tells a request's fate, after waiting for its end for a while.
-func (f *fates) wait(ctx context.Context, id string, wait time.Duration) peer.AnswerResponse {
+func (f *fates) wait(ctx context.Context, id string, wait time.Duration) peer.OutcomeResponse {
 	f.mu.Lock()
 	entry := f.byID[id]
 	f.mu.Unlock()
 	if entry == nil {
-		return peer.AnswerResponse{Fate: peer.FateUnknown}
+		return peer.OutcomeResponse{Outcome: peer.RunUnknown}
 	}
 	if wait > 0 {
 		select {
@@ -86,7 +86,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return peer.AnswerResponse{Fate: entry.state, Answer: entry.answer}
+	return peer.OutcomeResponse{Outcome: entry.state, Answer: entry.answer}
 }
 
 // trim forgets the oldest ended requests beyond the bounds. The caller holds the lock.
--- a/internal/box/run_once.go
+++ b/internal/box/run_once.go
@@ -113,7 +113,7 @@
 	b.fates.begin(own.RequestID)
 	claim, err := b.claims.Claim(ctx, o.customer, o.key, own)
 	if err != nil || claim.RequestID != own.RequestID {
-		b.fates.end(own.RequestID, peer.FateNotRun, nil)
+		b.fates.end(own.RequestID, peer.RunNotRun, nil)
 	}
 	if err != nil {
 		return claim, notClaimed(o, err)
@@ -138,19 +138,19 @@
 func (b *Box) settleOwn(ctx context.Context, j *job, o once, own claims.Claim, d *delivery, err error) (again bool, refused *refusal) {
 	switch {
 	case err == nil:
-		b.fates.end(own.RequestID, peer.FateDone, nil)
+		b.fates.end(own.RequestID, peer.RunDone, nil)
 		return false, nil
 	case d.sendErr != nil || ctx.Err() != nil:
 		// The run goes on at the engine, where the caller's next attempt finds it.
-		b.fates.end(own.RequestID, peer.FateUnknown, nil)
+		b.fates.end(own.RequestID, peer.RunUnknown, nil)
 		return false, unknown(reasonCallerLeft, remedyUnknown)
 	}
 	b.noteFailure(j, own.Upstream, err)
 	if d.next == 0 && (notStarted(err) || b.vouched(own)) {
-		b.fates.end(own.RequestID, peer.FateNotRun, nil)
+		b.fates.end(own.RequestID, peer.RunNotRun, nil)
 		return b.release(ctx, o, own.RequestID)
 	}
-	b.fates.end(own.RequestID, peer.FateUnknown, nil)
+	b.fates.end(own.RequestID, peer.RunUnknown, nil)
 	return false, unknown(reasonUpstream, remedyUnknown)
 }
 
@@ -176,7 +176,7 @@
 			return false, unknown(reasonUpstream, remedyUnknown)
 		}
 		fate := b.askFate(ctx, claim, 0)
-		if fate.Fate == peer.FateNotRun || (time.Now().After(deadline) && b.vouched(claim)) {
+		if fate.Outcome == peer.RunNotRun || (time.Now().After(deadline) && b.vouched(claim)) {
 			return b.release(ctx, o, claim.RequestID)
 		}
 		if time.Now().After(deadline) {
@@ -208,16 +208,16 @@
 }
 
 // askFate asks the box that claimed a run what became of it.
-func (b *Box) askFate(ctx context.Context, claim claims.Claim, wait time.Duration) peer.AnswerResponse {
+func (b *Box) askFate(ctx context.Context, claim claims.Claim, wait time.Duration) peer.OutcomeResponse {
 	if claim.Box == b.config.PeerAddress {
 		return b.fates.wait(ctx, claim.RequestID, wait)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerCallTime+wait)
 	defer cancel()
-	request := peer.AnswerRequest{RequestID: claim.RequestID, Wait: wait}
-	answer, err := peer.Call[peer.AnswerResponse](ctx, b.peers, claim.Box, peer.MethodAnswer, request)
+	request := peer.OutcomeRequest{RequestID: claim.RequestID, Wait: wait}
+	answer, err := peer.Call[peer.OutcomeResponse](ctx, b.peers, claim.Box, peer.MethodOutcome, request)
 	if err != nil {
-		return peer.AnswerResponse{Fate: peer.FateUnknown}
+		return peer.OutcomeResponse{Outcome: peer.RunUnknown}
 	}
 	return answer
 }
--- a/internal/box/services_once.go
+++ b/internal/box/services_once.go
@@ -68,16 +68,16 @@
 	defer ended()
 	answer, err := b.readAnswer(ctx, c, upstream)
 	if err == nil {
-		b.fates.end(own.RequestID, peer.FateDone, answer)
+		b.fates.end(own.RequestID, peer.RunDone, answer)
 		return answer, false, nil
 	}
 	b.router.Failed(upstream.ID, avoidTime)
 	if engine.IsDialError(err) {
-		b.fates.end(own.RequestID, peer.FateNotRun, nil)
+		b.fates.end(own.RequestID, peer.RunNotRun, nil)
 		again, refused = b.release(ctx, o, own.RequestID)
 		return nil, again, refused
 	}
-	b.fates.end(own.RequestID, peer.FateUnknown, nil)
+	b.fates.end(own.RequestID, peer.RunUnknown, nil)
 	return nil, false, unknown(reasonUpstream, remedyUnknown)
 }
 
@@ -102,12 +102,12 @@
 func (b *Box) earlierAnswer(ctx context.Context, c *call, o once, claim claims.Claim) (answer *peer.Answer, again bool, refused *refusal) {
 	b.set.GetOrCreateCounter("ospreymoor_joined_total").Inc()
 	fate := b.askFate(ctx, claim, durationOf(c.service.Timeout))
-	switch fate.Fate {
-	case peer.FateDone:
+	switch fate.Outcome {
+	case peer.RunDone:
 		if fate.Answer != nil {
 			return fate.Answer, false, nil
 		}
-	case peer.FateNotRun:
+	case peer.RunNotRun:
 		again, refused = b.release(ctx, o, claim.RequestID)
 		return nil, again, refused
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,9 +14,9 @@
 type Client struct {
 	// Secret is the fleet's.
 	Secret string
-	// Dial makes a connection.
+	// Dial makes a connection; it bounds its own time.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Set takes the counters.
+	// Set holds the counters.
 	Set *metrics.Set
 
 	mu    sync.Mutex
@@ -28,7 +28,9 @@
 	return &Client{Secret: secret, Dial: dial, Set: set, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call calls a method of the box at a peer address.
+// Call calls a method of the box at a peer address, over the kept connection if there is one. ctx bounds the call.
+// An error of the other box's handler is a *jsonrpc2.Error; any other error means that the call may or may not
+// have been handled, and its connection is closed.
 func Call[A any](ctx context.Context, c *Client, address, method string, params any) (A, error) {
 	var answer A
 	conn, err := c.conn(ctx, address)
@@ -42,7 +44,7 @@
 	return answer, nil
 }
 
-// Close ends all connections.
+// Close ends all connections; a later Call connects anew.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,6 +79,7 @@
 	return conn, nil
 }
 
+// connect makes a connection and sends the secret.
 func (c *Client) connect(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	raw, err := c.Dial(ctx, "tcp", address)
 	if err != nil {
@@ -84,7 +87,7 @@
 	}
 	stream := jsonrpc2.NewBufferedStream(counted(raw, c.Set), codec{})
 	// The connection outlives the call that makes it.
-	conn := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, refuse{}, jsonrpc2.SetLogger(silent{}))
+	conn := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, noHandler{}, jsonrpc2.SetLogger(noLog{}))
 	var empty Empty
 	if err := conn.Call(ctx, MethodHello, Hello{Secret: c.Secret}, &empty); err != nil {
 		_ = conn.Close()
@@ -93,7 +96,7 @@
 	return conn, nil
 }
 
-// drop closes a connection after a failure that was not the other side's answer.
+// drop closes a connection after a failure other than an error that the other box answered.
 func (c *Client) drop(address string, conn *jsonrpc2.Conn, err error) {
 	var answered *jsonrpc2.Error
 	if errors.As(err, &answered) {
@@ -107,8 +110,8 @@
 	_ = conn.Close()
 }
 
-// refuse answers nothing: calls go one way on a connection.
-type refuse struct{}
+// noHandler ignores requests: calls go one way on a connection.
+type noHandler struct{}
 
 // Handle ignores a request.
-func (refuse) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (noHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -11,10 +11,11 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// maxFrameBytes bounds one message: a few records of the largest size.
+// maxFrameBytes bounds one message, in bytes: a few records of the largest size that the store holds (1 MiB).
+// Chosen, not measured.
 const maxFrameBytes = 8 << 20
 
-// errFrame says that what came is no message; the connection is closed.
+// errFrame is the error of input that is no message; the connection is closed.
 const errFrame = errors.ConstError("bad frame: check that the peer speaks this protocol")
 
 // codec is jsonrpc2's length-prefixed codec with a bound on the length.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -9,32 +9,33 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// Methods that boxes call on each other.
+// Methods that boxes of the native way call on each other. The values are on the wire.
 const (
-	MethodHello   = "hello"
-	MethodBeat    = "beat"
-	MethodRecords = "records"
-	MethodAnswer  = "answer"
-	MethodDemand  = "demand"
-	MethodKeep    = "burn.keep"
-	MethodBurn    = "burn.all"
+	MethodHello     = "hello"
+	MethodHeartbeat = "beat"
+	MethodRecords   = "records"
+	MethodOutcome   = "answer"
+	MethodDemand    = "demand"
+	MethodKeepBurn  = "burn.keep"
+	MethodBurn      = "burn.all"
 )
 
-// Hello opens a connection; nothing else is answered before it.
+// Hello opens a connection; no other method is answered before it.
 type Hello struct {
 	Secret string `json:"secret"`
 }
 
-// Beat is a heartbeat with what changed since the last one.
-type Beat struct {
+// Heartbeat describes its sender, with what changed since its last one.
+type Heartbeat struct {
 	Peer membership.Peer `json:"peer,omitzero"`
-	// Generations of the records that the box holds.
+	// Generations of the records that the box holds: those that changed, or all if Full.
 	Generations map[string]records.Generation `json:"generations,omitempty"`
-	// Full tells that these are all, not only those that changed.
+	// Full is set if Generations holds all records.
 	Full bool `json:"full,omitempty"`
-	// Sent counts the box's dispatches to upstreams whose count changed.
+	// Sent is the number of requests that the box has sent to each upstream since its start; unchanged counts are
+	// left out.
 	Sent map[string]int64 `json:"sent,omitempty"`
-	// Leaving are upstreams that told the box that they leave.
+	// Leaving lists upstreams that reported that they are leaving.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
@@ -48,52 +49,52 @@
 	Records []records.Record `json:"records"`
 }
 
-// AnswerRequest asks what became of a request that the box has claimed.
-type AnswerRequest struct {
+// OutcomeRequest asks for the outcome of a run that the box has claimed.
+type OutcomeRequest struct {
 	RequestID string `json:"requestId"`
-	// Wait bounds how long the box waits for a request under way.
+	// Wait bounds how long the box waits for the end of a run under way; in nanoseconds on the wire.
 	Wait time.Duration `json:"wait"`
 }
 
-// Fate is what became of a claimed request.
-type Fate string
+// RunOutcome is what became of a claimed run, as the box that claimed it knows.
+type RunOutcome string
 
-// The fates of a claimed request.
+// The outcomes of a claimed run. The values are on the wire.
 const (
-	// FateUnknown: the box does not know, or its dispatch broke off.
-	FateUnknown Fate = "unknown"
-	// FateNotRun: it was not handed out and will not be.
-	FateNotRun Fate = "not run"
-	// FateRunning: it was handed out and has no end yet.
-	FateRunning Fate = "running"
-	// FateDone: Answer holds its answer.
-	FateDone Fate = "done"
+	// RunUnknown: the box has forgotten the run, or the answer broke off.
+	RunUnknown RunOutcome = "unknown"
+	// RunNotRun: it was not sent to an upstream and will not be.
+	RunNotRun RunOutcome = "not run"
+	// RunRunning: it was claimed and has no outcome yet.
+	RunRunning RunOutcome = "running"
+	// RunDone: it has ended; a plain service's answer comes with it.
+	RunDone RunOutcome = "done"
 )
 
-// AnswerResponse tells a request's fate.
-type AnswerResponse struct {
-	Fate   Fate    `json:"fate"`
-	Answer *Answer `json:"answer,omitempty"`
+// OutcomeResponse holds the outcome of a claimed run.
+type OutcomeResponse struct {
+	Outcome RunOutcome `json:"fate"`
+	Answer  *Answer    `json:"answer,omitempty"`
 }
 
-// Answer is a plain service's answer, kept for those who ask again.
+// Answer is a plain service's answer, kept for later attempts of the same request.
 type Answer struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header"`
 	Body   []byte              `json:"body"`
 }
 
-// Demand is how many requests for each model ran or would have run at once.
+// Demand is how many requests for each model ran, or would have run, at the same time in the mean.
 type Demand struct {
-	// From is a box's id, or a hall's name when the hall's controller passes it on.
+	// From is a box's id, or a hall's name in a report of the hall's controller.
 	From   string             `json:"from"`
 	Models map[string]float64 `json:"models"`
-	// Planner tells that this is a hall's sum for the planner.
+	// Planner is set if this is a hall's sum, for the planner.
 	Planner bool `json:"planner,omitempty"`
 }
 
-// KeepRequest asks a box to keep another's counters.
-type KeepRequest struct {
+// KeepBurnRequest asks a box to keep a copy of another's counters for the burn report.
+type KeepBurnRequest struct {
 	Snapshot burn.Snapshot `json:"snapshot"`
 }
 
@@ -102,9 +103,10 @@
 	Snapshots []burn.Snapshot `json:"snapshots"`
 }
 
-// Empty is the answer of calls that answer nothing.
+// Empty is the answer of methods without a result.
 type Empty struct{}
 
+// decode reads a request's parameters; without any, the zero value.
 func decode[T any](raw *json.RawMessage) (T, error) {
 	var params T
 	if raw == nil {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,4 +1,3 @@
-// Package peer carries messages between boxes: JSON-RPC 2.0 over TCP.
 package peer
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrSecret says that the other side does not know the fleet's secret.
+// ErrSecret is the answer to a caller without the fleet's secret.
 const ErrSecret = errors.ConstError("peer secret differs: give all boxes the same --peer-secret")
 
 // handler answers one method.
@@ -30,12 +29,12 @@
 	conns map[net.Conn]struct{}
 }
 
-// NewServer returns a server that wants secret from each caller.
+// NewServer returns a server without methods; each caller must send secret first. Counters go to set.
 func NewServer(secret string, set *metrics.Set) *Server {
 	return &Server{secret: secret, set: set, handlers: map[string]handler{}, conns: map[net.Conn]struct{}{}}
 }
 
-// Handle has f answer a method. Call it before Serve.
+// Handle makes f answer a method. Call it before Serve. An error of f reaches the caller as its text only.
 func Handle[Q, A any](s *Server, method string, f func(context.Context, Q) (A, error)) {
 	s.handlers[method] = func(ctx context.Context, raw *json.RawMessage) (any, error) {
 		params, err := decode[Q](raw)
@@ -46,7 +45,7 @@
 	}
 }
 
-// Serve answers connections until the listener is closed.
+// Serve answers connections until the listener is closed. Calls on one connection run concurrently.
 func (s *Server) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -71,7 +70,7 @@
 	defer s.track(conn, false)
 	session := &session{server: s}
 	stream := jsonrpc2.NewBufferedStream(counted(conn, s.set), codec{})
-	rpc := jsonrpc2.NewConn(context.Background(), stream, session, jsonrpc2.SetLogger(silent{}))
+	rpc := jsonrpc2.NewConn(context.Background(), stream, session, jsonrpc2.SetLogger(noLog{}))
 	<-rpc.DisconnectNotify()
 }
 
@@ -88,7 +87,8 @@
 // session is one connection's state.
 type session struct {
 	server *Server
-	known  atomic.Bool
+	// known is set once the caller has sent the secret.
+	known atomic.Bool
 }
 
 // Handle answers one request; each runs in a goroutine of its own once the caller is known.
@@ -100,7 +100,7 @@
 	go s.answer(ctx, conn, request)
 }
 
-// hello takes nothing but the secret, and hangs up on anything else.
+// hello accepts the secret and nothing else; any other message ends the connection.
 func (s *session) hello(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	hello, err := decode[Hello](request.Params)
 	right := subtle.ConstantTimeCompare([]byte(hello.Secret), []byte(s.server.secret)) == 1
@@ -114,6 +114,8 @@
 	_ = conn.Reply(ctx, request.ID, Empty{})
 }
 
+// answer runs the handler of one request and replies. A reply that can't be sent is dropped: its connection is
+// broken, and the caller's end reports that to the caller.
 func (s *session) answer(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	handle, ok := s.server.handlers[request.Method]
 	if !ok {
@@ -128,36 +130,8 @@
 	_ = conn.Reply(ctx, request.ID, result)
 }
 
-// silent keeps the library from logging each broken connection; counters tell of them.
-type silent struct{}
+// noLog discards the library's line for each broken connection; callers count failed calls instead.
+type noLog struct{}
 
-// Printf drops a line.
-func (silent) Printf(string, ...any) {}
-
-// counted counts the bytes of a connection.
-func counted(conn net.Conn, set *metrics.Set) net.Conn {
-	return &countedConn{
-		Conn: conn,
-		in:   set.GetOrCreateCounter(`ospreymoor_peer_bytes_total{direction="in"}`),
-		out:  set.GetOrCreateCounter(`ospreymoor_peer_bytes_total{direction="out"}`),
-	}
-}
-
-type countedConn struct {
-	net.Conn
-	in, out *metrics.Counter
-}
-
-// Read counts what came in.
-func (c *countedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.in.Add(n)
-	return n, err
-}
-
-// Write counts what went out.
-func (c *countedConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.out.Add(n)
-	return n, err
-}
+// Printf discards a line.
+func (noLog) Printf(string, ...any) {}
