--- a/internal/box/beats.go
+++ b/internal/box/beats.go
@@ -12,8 +12,6 @@
 )
 
 const (
-	// peerCallTime bounds one call to another box.
-	peerCallTime = 2 * time.Second
 	// beatsPerSecond bounds the heartbeats that a box sends, so that a large hall beats slower.
 	beatsPerSecond = 24
 	// fullBeats is after how many beats one tells all generations again.
@@ -67,7 +65,7 @@
 		addresses[box.ID] = box.Address
 	}
 	for hall, ids := range far {
-		if !membership.Among("bridge/"+hall, b.hallBoxes(), b.config.ID, bridges) {
+		if !membership.Among("bridge/"+hall, b.members.inHall(), b.config.ID, bridges) {
 			continue // Others of this hall talk to that one, and tell.
 		}
 		ranked := membership.Rank(b.config.ID, ids)
@@ -93,7 +91,7 @@
 // all generations, for those that missed a beat.
 func (b *Box) newBeat(s *said) peer.Heartbeat {
 	beat := peer.Heartbeat{
-		Peer:        b.self(),
+		Peer:        b.self.peer(),
 		Generations: map[string]records.Generation{},
 		Sent:        map[string]int64{},
 		Leaving:     b.view.MarkedLeaving(),
@@ -105,30 +103,16 @@
 	}
 	beat.Full = s.beats%fullBeats == 0
 	s.beats++
-	for name, generation := range b.cache.Generations(shared) {
+	for name, generation := range b.cache.Generations(isShared) {
 		// What must be everywhere within seconds is told each time.
-		if beat.Full || s.generations[name] != generation || strings.HasPrefix(name, fleetPrefix) {
+		if beat.Full || s.generations[name] != generation || isUrgent(name) {
 			beat.Generations[name], s.generations[name] = generation, generation
 		}
 	}
 	return beat
 }
 
-// self describes this box to its peers.
-func (b *Box) self() membership.Peer {
-	return membership.Peer{
-		ID:          b.config.ID,
-		Incarnation: b.incarnation,
-		Hall:        b.config.Hall,
-		Address:     b.config.PeerAddress,
-		Leaving:     b.draining.Load(),
-		Store:       b.storeOK.Load(),
-	}
-}
-
 func (b *Box) beatTo(ctx context.Context, address string, message peer.Heartbeat) {
-	ctx, cancel := context.WithTimeout(ctx, peerCallTime)
-	defer cancel()
 	// Each side learns of the other from one exchange, also when only one has the other's address.
 	answer, err := peer.Call[peer.Heartbeat](ctx, b.peers, address, peer.MethodHeartbeat, message)
 	if err != nil {
@@ -143,7 +127,7 @@
 // hear takes a beat in, and fetches what its sender has newer.
 func (b *Box) hear(beat peer.Heartbeat) {
 	b.view.Hear(beat.Peer)
-	b.sent.hear(beat.Peer.Incarnation, beat.Sent)
+	b.fleet.sent.take(beat.Peer.Incarnation, beat.Sent)
 	for _, id := range beat.Leaving {
 		b.view.MarkLeaving(id)
 	}
@@ -167,7 +151,7 @@
 			b.fetching.Delete(name)
 		}
 	}()
-	b.fetchRecords(context.Background(), address, names)
+	b.fetcher.fetch(context.Background(), address, names)
 }
 
 // wantsFrom tells whether a newer record should be fetched now: loads of other halls,
@@ -177,27 +161,13 @@
 	if !isLoads || hall == b.config.Hall {
 		return true
 	}
-	return b.loads.age(name) > farLoadsAge
-}
-
-// shared tells which records' generations go into heartbeats; bundle texts are fetched by need.
-func shared(name string) bool {
-	return name == bundle.TableKey || name == planKey || name == boxesRecord ||
-		strings.HasPrefix(name, holdingsPrefix) || strings.HasPrefix(name, loadsPrefix)
+	return b.fleet.loads.age(name) > farLoadsAge
 }
 
 // handlePeers answers the calls of other boxes.
 func (b *Box) handlePeers() {
 	peer.Handle(b.server, peer.MethodHeartbeat, b.answerBeat)
-	peer.Handle(b.server, peer.MethodRecords, func(_ context.Context, q peer.RecordsRequest) (peer.RecordsResponse, error) {
-		var answer peer.RecordsResponse
-		for _, name := range q.Names {
-			if record, ok := b.cache.Get(name); ok {
-				answer.Records = append(answer.Records, record)
-			}
-		}
-		return answer, nil
-	})
+	peer.Handle(b.server, peer.MethodRecords, b.fetcher.answer)
 	peer.Handle(b.server, peer.MethodOutcome, func(ctx context.Context, q peer.OutcomeRequest) (peer.OutcomeResponse, error) {
 		return b.fates.wait(ctx, q.RequestID, q.Wait), nil
 	})
@@ -223,9 +193,9 @@
 	if beat.Peer.Hall == b.config.Hall && !starting {
 		return peer.Heartbeat{}, nil
 	}
-	reply := peer.Heartbeat{Peer: b.self(), Leaving: b.view.MarkedLeaving()}
+	reply := peer.Heartbeat{Peer: b.self.peer(), Leaving: b.view.MarkedLeaving()}
 	reply.Generations = b.cache.Generations(func(name string) bool {
-		return strings.HasPrefix(name, fleetPrefix) || (shared(name) && (starting || beat.Full))
+		return isUrgent(name) || (isShared(name) && (starting || beat.Full))
 	})
 	return reply, nil
 }
@@ -235,26 +205,3 @@
 	_, ok := beat.Generations[bundle.TableKey]
 	return !ok
 }
-
-// hallBoxes lists the boxes of this hall that reach the store, this one included; when no
-// other is heard, this box is alone.
-func (b *Box) hallBoxes() []string {
-	ids := []string{b.config.ID}
-	for _, p := range b.view.Live() {
-		if p.Hall == b.config.Hall && p.Store {
-			ids = append(ids, p.ID)
-		}
-	}
-	return ids
-}
-
-// fleetBoxes lists all boxes that reach the store, this one included.
-func (b *Box) fleetBoxes() []string {
-	ids := []string{b.config.ID}
-	for _, p := range b.view.Live() {
-		if p.Store {
-			ids = append(ids, p.ID)
-		}
-	}
-	return ids
-}
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -7,11 +7,9 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
-	"github.com/google/uuid"
 	"github.com/juju/errors"
 	"go.uber.org/zap"
 
@@ -23,7 +21,6 @@
 	"ospreymoor.example/ospreymoor/pkg/claims"
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/membership"
-	"ospreymoor.example/ospreymoor/pkg/orders"
 	"ospreymoor.example/ospreymoor/pkg/placement"
 	"ospreymoor.example/ospreymoor/pkg/records"
 	"ospreymoor.example/ospreymoor/pkg/routing"
@@ -77,14 +74,13 @@
 
 // Box is one entry box.
 type Box struct {
-	config      Config
-	log         *zap.Logger
-	set         *metrics.Set
-	incarnation string
-	started     time.Time
+	config  Config
+	log     *zap.Logger
+	set     *metrics.Set
+	self    *self
+	members *members
 
 	store     kv.Store
-	storeOK   atomic.Bool
 	registry  *bundle.Registry
 	claims    *claims.Claims
 	cache     *records.Cache
@@ -103,14 +99,12 @@
 	plain     *http.Client
 	plainOnce *http.Client
 
-	inForce  atomic.Pointer[inForce]
-	fleet    atomic.Pointer[fleet]
-	loads    *loadTable
-	sent     *sentTable
-	weights  *weightTable
-	decoded  decodedRecords
-	control  *control
-	draining atomic.Bool
+	inForce *bundlesInForce
+	fleet   *fleetState
+	weights *weightTable
+	reader  *recordReader
+	fetcher *recordFetcher
+	control *control
 	// beatNow wakes the heartbeats, and recordNews the one that takes records in.
 	beatNow    chan struct{}
 	recordNews chan struct{}
@@ -123,40 +117,42 @@
 		config.Dial = (&net.Dialer{Timeout: dialTime}).DialContext
 	}
 	b := &Box{
-		config:      config,
-		log:         config.Log.With(zap.String("box", config.ID)),
-		set:         metrics.NewSet(),
-		incarnation: uuid.NewString(),
-		started:     time.Now(),
-		cache:       records.NewCache(),
-		view:        membership.NewView(config.ID),
-		router:      routing.New(routing.Config{}),
-		retries:     routing.NewRetryBudget(retryShare),
-		keeper:      burn.NewKeeper(),
-		fates:       newFates(),
-		loads:       newLoadTable(),
-		sent:        newSentTable(),
-		weights:     &weightTable{used: map[string]string{}},
-		beatNow:     make(chan struct{}, 1),
-		recordNews:  make(chan struct{}, 1),
-		platform:    &http.Client{Transport: plainTransport(config.Dial)},
-		plain:       &http.Client{Transport: plainTransport(config.Dial), CheckRedirect: noRedirect},
-		plainOnce:   &http.Client{Transport: onceTransport(config.Dial), CheckRedirect: noRedirect},
+		config:     config,
+		log:        config.Log.With(zap.String("box", config.ID)),
+		set:        metrics.NewSet(),
+		self:       newSelf(config.ID, config.Hall, config.PeerAddress),
+		cache:      records.NewCache(),
+		view:       membership.NewView(config.ID),
+		router:     routing.New(routing.Config{}),
+		retries:    routing.NewRetryBudget(retryShare),
+		keeper:     burn.NewKeeper(),
+		fates:      newFates(),
+		weights:    newWeightTable(),
+		beatNow:    make(chan struct{}, 1),
+		recordNews: make(chan struct{}, 1),
+		platform:   &http.Client{Transport: plainTransport(config.Dial)},
+		plain:      &http.Client{Transport: plainTransport(config.Dial), CheckRedirect: noRedirect},
+		plainOnce:  &http.Client{Transport: onceTransport(config.Dial), CheckRedirect: noRedirect},
 	}
-	b.burn = burn.NewRecorder(config.ID, b.incarnation)
+	b.members = &members{self: b.self, view: b.view}
+	b.reader = newRecordReader(b.cache, b.log)
+	b.fleet = newFleetState(fleetConfig{self: b.self, hallDistance: config.HallDistance, reader: b.reader, view: b.view, router: b.router})
+	b.burn = burn.NewRecorder(config.ID, b.self.incarnation)
 	b.store = b.watched(kv.WithBudget(
 		kv.NewEtcd(kv.EtcdConfig{URL: config.PlatformURL, Client: b.platform}),
 		kv.Budget{ReadsPerSecond: config.Reads, WritesPerSecond: config.Writes, Set: b.set},
 	))
-	b.registry = &bundle.Registry{Store: b.store, Fits: b.fits}
+	b.registry = &bundle.Registry{Store: b.store, Fits: func(current, next []*bundle.Bundle) error {
+		return b.fleet.fits(current, next, config.Placement)
+	}}
 	b.claims = claims.New(claims.Config{Store: b.store, Window: config.ClaimWindow})
 	b.admission = admission.New(b.view.FleetSize)
 	b.demand = newDemand()
 	b.peers = peer.NewClient(config.PeerSecret, config.Dial, b.set)
 	b.server = peer.NewServer(config.PeerSecret, b.set)
 	b.engines = newEngineClients(engine.NewHTTPClient(config.Dial))
-	b.decoded.holdings = map[string]decoded[orders.Holdings]{}
-	b.fleet.Store(&fleet{})
+	b.fetcher = &recordFetcher{peers: b.peers, cache: b.cache}
+	b.inForce = &bundlesInForce{self: b.self, log: b.log, cache: b.cache, store: b.store, view: b.view, fetcher: b.fetcher}
 	b.cache.Subscribe(func(records.Record) { wake(b.recordNews) })
 	b.control = newControl(b)
 	b.handlePeers()
@@ -243,11 +239,11 @@
 // Ready tells whether the box should get requests: it knows what is in force, and what its
 // hall's engines hold unless nobody could tell for a while.
 func (b *Box) Ready() bool {
-	f := b.inForce.Load()
-	if b.draining.Load() || f == nil {
+	f := b.inForce.current.Load()
+	if b.self.draining.Load() || f == nil {
 		return false
 	}
-	return len(f.bundles) == 0 || b.fleet.Load().informed || time.Since(b.started) > informGrace
+	return len(f.bundles) == 0 || b.fleet.snapshot.Load().informed || time.Since(b.self.started) > informGrace
 }
 
 // Metrics is the box's set of metrics.
@@ -256,15 +252,15 @@
 func (b *Box) gauges() {
 	b.set.NewGauge("ospreymoor_in_flight", func() float64 { return float64(b.admission.InFlight()) })
 	b.set.NewGauge("ospreymoor_in_force_generation", func() float64 {
-		if f := b.inForce.Load(); f != nil {
+		if f := b.inForce.current.Load(); f != nil {
 			return float64(f.generation)
 		}
 		return 0
 	})
-	b.set.NewGauge("ospreymoor_plan_number", func() float64 { return float64(b.fleet.Load().plan.Number) })
+	b.set.NewGauge("ospreymoor_plan_number", func() float64 { return float64(b.fleet.snapshot.Load().plan.Number) })
 	b.set.NewGauge("ospreymoor_peers_live", func() float64 { return float64(len(b.view.Live())) })
 	b.set.NewGauge("ospreymoor_store_reachable", func() float64 {
-		if b.storeOK.Load() {
+		if b.self.storeReachable.Load() {
 			return 1
 		}
 		return 0
@@ -275,26 +271,8 @@
 func (b *Box) watched(store kv.Store) kv.Store {
 	return kv.Observed(store, func(err error) {
 		down := errors.Is(err, kv.ErrUnavailable) || errors.Is(err, kv.ErrUnknown)
-		if b.storeOK.Swap(!down) == down {
+		if b.self.storeReachable.Swap(!down) == down {
 			b.log.Info("key-value service", zap.Bool("reachable", !down))
 		}
 	})
 }
-
-// wake signals a loop that has a channel of one place.
-func wake(signal chan struct{}) {
-	select {
-	case signal <- struct{}{}:
-	default:
-	}
-}
-
-// pause waits, and tells whether ctx is still on.
-func pause(ctx context.Context, wait time.Duration) bool {
-	select {
-	case <-time.After(wait):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/box/in_force_test.go
+++ b/internal/box/bundles_in_force_test.go
@@ -68,7 +68,7 @@
 	for pause(ctx, 50*time.Millisecond) {
 		boxes.mu.Lock()
 		for id, b := range t.boxes {
-			f := b.inForce.Load()
+			f := b.inForce.current.Load()
 			if f == nil {
 				continue
 			}
@@ -89,7 +89,7 @@
 		return err
 	}
 	for id, b := range t.boxes {
-		if f := b.inForce.Load(); f == nil || f.generation != record.Revision {
+		if f := b.inForce.current.Load(); f == nil || f.generation != record.Revision {
 			return fmt.Errorf("box %s does not serve generation %d", id, record.Revision)
 		}
 	}
--- a/internal/box/capacity_bench_test.go
+++ b/internal/box/capacity_bench_test.go
@@ -104,7 +104,7 @@
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			box := syntheticBox(engines)
 			for b.Loop() {
-				box.adoptFleet()
+				box.fleet.rebuild()
 			}
 			b.ReportMetric(float64(planBytes(box)), "planB")
 			b.ReportMetric(float64(holdingsBytes(box)), "holdingsB/hall")
@@ -124,7 +124,7 @@
 				table.Customers[fmt.Sprintf("c%d", c)] = bundle.Entry{Version: 1}
 			}
 			for b.Loop() {
-				if _, err := box.newInForce(b.Context(), 1, table); err != nil {
+				if _, err := box.inForce.build(b.Context(), 1, table); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/box/control.go
+++ b/internal/box/control.go
@@ -3,13 +3,11 @@
 import (
 	"context"
 	"encoding/json"
-	"net/http"
 	"sync"
 	"time"
 
 	"go.uber.org/zap"
 
-	"ospreymoor.example/ospreymoor/internal/engine"
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/lease"
 	"ospreymoor.example/ospreymoor/pkg/membership"
@@ -38,8 +36,8 @@
 
 func newControl(b *Box) *control {
 	c := &control{box: b}
-	c.hall = c.lease(hallLeasePrefix+b.config.Hall, b.hallBoxes)
-	c.planner = c.lease(plannerLease, b.fleetBoxes)
+	c.hall = c.lease(hallLeasePrefix+b.config.Hall, b.members.inHall)
+	c.planner = c.lease(plannerLease, b.members.inFleet)
 	c.controller = &orders.Controller{
 		Hall:            b.config.Hall,
 		Address:         b.config.PeerAddress,
@@ -47,7 +45,7 @@
 		RepairTerm:      c.repairTerm,
 		Engines:         c.engines,
 		TakeOver:        c.takeOver,
-		Plan:            func() (placement.Plan, bool) { f := b.fleet.Load(); return f.plan, f.planned },
+		Plan:            func() (placement.Plan, bool) { f := b.fleet.snapshot.Load(); return f.plan, f.planned },
 		MayUnload:       c.mayUnload,
 		Store:           b.store,
 		PublishHoldings: c.publishHoldings,
@@ -66,7 +64,7 @@
 		Holder: b.config.ID,
 		TTL:    b.config.LeaseTTL,
 		Candidate: func() bool {
-			return !b.draining.Load() && membership.Among(key, boxes(), b.config.ID, leaseCandidates)
+			return !b.self.draining.Load() && membership.Among(key, boxes(), b.config.ID, leaseCandidates)
 		},
 		Changed: func(term int64) {
 			b.log.Info("lease", zap.String("key", key), zap.Bool("held", term != 0), zap.Int64("term", term))
@@ -90,7 +88,7 @@
 // repairTerm lets the hall's last controller go on ordering fenced engines while the
 // key-value service is away: a higher term ends it at each engine.
 func (c *control) repairTerm() int64 {
-	if c.box.storeOK.Load() || c.box.draining.Load() {
+	if c.box.self.storeReachable.Load() || c.box.self.draining.Load() {
 		return 0
 	}
 	return c.hall.LatestTerm()
@@ -100,7 +98,7 @@
 func (c *control) takeOver(ctx context.Context) error {
 	_, err := c.box.readStore(ctx)
 	if err == nil {
-		c.box.adoptFleet()
+		c.box.fleet.rebuild()
 	}
 	return err
 }
@@ -108,7 +106,7 @@
 // engines lists the hall's engines.
 func (c *control) engines() []orders.Engine {
 	var list []orders.Engine
-	for id, info := range c.box.fleet.Load().engines {
+	for id, info := range c.box.fleet.snapshot.Load().engines {
 		if info.box.Hall == c.box.config.Hall {
 			list = append(list, c.box.engines.get(id, info.box).Order())
 		}
@@ -119,7 +117,7 @@
 // mayUnload tells whether an item stays reachable without an engine's copy: nobody needs
 // it, or another engine confirmed it that the plan wants to keep it.
 func (c *control) mayUnload(plan placement.Plan, id, item string) bool {
-	f := c.box.fleet.Load()
+	f := c.box.fleet.snapshot.Load()
 	needed := false
 	for _, copies := range plan.Units {
 		if copies.Item.Name != item && !hasAdapter(copies.Adapters, item) {
@@ -127,7 +125,7 @@
 		}
 		needed = true
 		for _, place := range copies.Places {
-			if place.Engine != id && c.box.loads.heard(place.Engine) && f.keeps(place, copies.Unit) {
+			if place.Engine != id && c.box.fleet.loads.reporting(place.Engine) && f.keeps(place, copies.Unit) {
 				return true
 			}
 		}
@@ -154,7 +152,7 @@
 
 // keeps tells whether an engine has confirmed the whole of a unit, its controller knows
 // that it shall stay, and all boxes have had the time to hear of it.
-func (f *fleet) keeps(place placement.Place, unit placement.Unit) bool {
+func (f *fleetSnapshot) keeps(place placement.Place, unit placement.Unit) bool {
 	info := f.engines[place.Engine]
 	if info.holding.Plan < place.Since {
 		return false
@@ -176,45 +174,6 @@
 	return false
 }
 
-// engineClients keeps one client for each engine's address.
-type engineClients struct {
-	http *http.Client
-
-	mu      sync.Mutex
-	clients map[string]engineClient
-}
-
-type engineClient struct {
-	box    membership.Box
-	client *engine.Client
-}
-
-func newEngineClients(client *http.Client) *engineClients {
-	return &engineClients{http: client, clients: map[string]engineClient{}}
-}
-
-func (e *engineClients) get(id string, box membership.Box) *engine.Client {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	known := e.clients[id]
-	if known.client == nil || known.box.Address != box.Address || known.box.Fenced != box.Fenced {
-		known = engineClient{box: box, client: engine.NewClient(e.http, box)}
-		e.clients[id] = known
-	}
-	return known.client
-}
-
-// forget drops the clients of engines that are not listed any more.
-func (e *engineClients) forget(listed map[string]engineInfo) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for id := range e.clients {
-		if _, ok := listed[id]; !ok {
-			delete(e.clients, id)
-		}
-	}
-}
-
 // putPlan takes a plan that this box wrote into what it serves by.
 func (b *Box) putPlan(document kv.Versioned[placement.Plan]) {
 	value, err := json.Marshal(kv.Document[placement.Plan]{Body: document.Body})
@@ -222,7 +181,7 @@
 		return
 	}
 	b.cache.Put(records.Record{
-		Name:       planKey,
+		Name:       planRecord,
 		Generation: records.Generation{Term: document.Revision},
 		Value:      value,
 	})
--- a/internal/box/demand.go
+++ b/internal/box/demand.go
@@ -87,7 +87,7 @@
 	last := time.Now()
 	for pause(ctx, placement.MeterInterval) {
 		b.demand.Sample()
-		every := demandReport * time.Duration(max(1, len(b.hallBoxes())/demandBoxes))
+		every := demandReport * time.Duration(max(1, len(b.members.inHall())/demandBoxes))
 		if time.Since(last) < every {
 			continue
 		}
@@ -98,13 +98,13 @@
 
 func (b *Box) passDemand(ctx context.Context) {
 	report := peer.Demand{From: b.config.ID, Models: b.demand.Demand()}
-	holdings := decodeRecord[orders.Holdings](b.cache, holdingsPrefix+b.config.Hall)
+	holdings := readRecord[orders.Holdings](b.reader, holdingsPrefix+b.config.Hall)
 	b.sendDemand(ctx, holdings.Controller, report)
 	if _, err := b.control.hall.Term(); err != nil {
 		return
 	}
 	sum := peer.Demand{From: b.config.Hall, Models: b.demand.hall(), Planner: true}
-	b.sendDemand(ctx, b.fleet.Load().plan.Planner, sum)
+	b.sendDemand(ctx, b.fleet.snapshot.Load().plan.Planner, sum)
 }
 
 // sendDemand passes a report to the box at a peer address, which may be this one.
--- a/internal/box/drain.go
+++ b/internal/box/drain.go
@@ -11,7 +11,7 @@
 // drain stops the box without cutting off a request: it turns unready, hands its leases
 // over, goes on taking requests until the balancer has noticed, and waits for the last one.
 func (b *Box) drain(server *http.Server, handOver func()) {
-	b.draining.Store(true)
+	b.self.draining.Store(true)
 	wake(b.beatNow)
 	b.log.Info("draining", zap.Int("in flight", b.admission.InFlight()))
 	begun := time.Now()
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -1,9 +1,9 @@
 package box
 
 import (
-	"encoding/json"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"ospreymoor.example/ospreymoor/pkg/kv"
@@ -14,103 +14,121 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// Names of the records that boxes share beside the table in force.
-const (
-	planKey        = "fleet/plan"
-	boxesRecord    = "boxes"
-	holdingsPrefix = "holdings/"
-	loadsPrefix    = "loads/"
-)
+// fleetState owns what this box knows of upstreams and the plan, from the records of the cache.
+type fleetState struct {
+	self *self
+	// hallDistance is the extra time to reach another hall's upstreams.
+	hallDistance time.Duration
+	reader       *recordReader
+	cache        *records.Cache
+	view         *membership.View
+	router       *routing.Router
+	loads        *loadTable
+	sent         *sentTable
+
+	// snapshot is made anew with each change, never changed.
+	snapshot atomic.Pointer[fleetSnapshot]
+
+	// mu guards what records decode to, which is kept so that a change of one does not decode all.
+	mu       sync.Mutex
+	plan     decoded[kv.Document[placement.Plan]]
+	holdings map[string]decoded[orders.Holdings]
+}
 
-// fleet is what this box knows of upstreams and the plan; it is made anew, never changed.
-type fleet struct {
+// fleetSnapshot is the fleet as this box knows it at one moment.
+type fleetSnapshot struct {
 	plan    placement.Plan
 	planned bool
-	// informed tells that the box list and the hall's holdings were known.
+	// informed is whether the box list, the plan and the hall's holdings were known.
 	informed bool
-	engines  map[string]engineInfo
+	engines  map[string]engineState
 	services map[string][]membership.Box
 	// holders are the engines that confirmed an item.
 	holders map[string][]string
-	// slots is what the engines of a pool run at once.
+	// slots is how many requests the engines of a pool run at once.
 	slots map[string]int
 }
 
-// engineInfo is one engine of the box list with what its hall's controller reports.
-type engineInfo struct {
+// engineState is one engine of the box list with what its hall's controller reports.
+type engineState struct {
 	box     membership.Box
 	holding orders.Holding
-	// reported tells whether there is a report.
+	// reported is whether there is a report.
 	reported bool
-	// since tells of each resident item since when this box knows of it.
+	// since is when this box first saw each resident item reported.
 	since map[string]time.Time
 }
 
-// decodedRecords keeps what records decode to, so that a change of one does not decode all.
-type decodedRecords struct {
-	mu       sync.Mutex
-	plan     decoded[kv.Document[placement.Plan]]
-	holdings map[string]decoded[orders.Holdings]
+// fleetConfig holds the parts that a fleetState reads from.
+type fleetConfig struct {
+	self         *self
+	hallDistance time.Duration
+	reader       *recordReader
+	view         *membership.View
+	router       *routing.Router
 }
 
-// decoded is a record's value at a generation.
-type decoded[T any] struct {
-	generation records.Generation
-	value      T
-	ok         bool
-}
-
-// read decodes a record unless it is still of the generation decoded last.
-func (d decoded[T]) read(cache *records.Cache, name string) decoded[T] {
-	record, held := cache.Get(name)
-	if !held || (d.ok && d.generation == record.Generation) {
-		return d
+func newFleetState(config fleetConfig) *fleetState {
+	s := &fleetState{
+		self:         config.self,
+		hallDistance: config.hallDistance,
+		reader:       config.reader,
+		cache:        config.reader.cache,
+		view:         config.view,
+		router:       config.router,
+		loads:        newLoadTable(),
+		sent:         newSentTable(),
+		holdings:     map[string]decoded[orders.Holdings]{},
 	}
-	var value T
-	err := json.Unmarshal(record.Value, &value)
-	return decoded[T]{generation: record.Generation, value: value, ok: err == nil}
+	s.snapshot.Store(&fleetSnapshot{})
+	return s
 }
 
-// adoptFleet makes the fleet anew from the records held.
-func (b *Box) adoptFleet() {
-	b.decoded.mu.Lock()
-	defer b.decoded.mu.Unlock()
-	next := &fleet{
-		engines:  map[string]engineInfo{},
+// rebuild makes the snapshot anew from the records held.
+func (s *fleetState) rebuild() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	next := &fleetSnapshot{
+		engines:  map[string]engineState{},
 		services: map[string][]membership.Box{},
 		holders:  map[string][]string{},
 		slots:    map[string]int{},
 	}
-	b.decoded.plan = b.decoded.plan.read(b.cache, planKey)
-	next.plan, next.planned = b.decoded.plan.value.Body, b.decoded.plan.ok
-	for _, box := range b.view.Upstreams(membership.KindService) {
+	s.plan = s.plan.refresh(s.reader, planRecord)
+	next.plan, next.planned = s.plan.value.Body, s.plan.ok
+	for _, box := range s.view.Upstreams(membership.KindService) {
 		next.services[box.Pool] = append(next.services[box.Pool], box)
 	}
-	fresh := map[string]bool{}
-	for _, box := range b.view.Upstreams(membership.KindEngine) {
-		if !fresh[box.Hall] {
-			fresh[box.Hall] = true
-			b.decoded.holdings[box.Hall] = b.decoded.holdings[box.Hall].read(b.cache, holdingsPrefix+box.Hall)
+	refreshed := map[string]bool{}
+	for _, box := range s.view.Upstreams(membership.KindEngine) {
+		if !refreshed[box.Hall] {
+			refreshed[box.Hall] = true
+			s.holdings[box.Hall] = s.holdings[box.Hall].refresh(s.reader, holdingsPrefix+box.Hall)
 		}
-		holding, reported := b.decoded.holdings[box.Hall].value.Engines[box.ID]
-		b.noteIncarnation(box.ID, holding)
-		next.engines[box.ID] = engineInfo{
+		holding, reported := s.holdings[box.Hall].value.Engines[box.ID]
+		s.noteReport(box.ID, holding)
+		next.add(engineState{
 			box:      box,
 			holding:  holding,
 			reported: reported,
-			since:    b.residentSince(box.ID, holding),
-		}
-		next.slots[box.Pool] += holding.Slots
-		for _, item := range holding.Resident {
-			next.holders[item] = append(next.holders[item], box.ID)
-		}
+			since:    s.residentSince(box.ID, holding),
+		})
 	}
-	next.informed = next.planned && len(next.engines) > 0 && hasKey(b.cache, holdingsPrefix+b.config.Hall)
-	b.fleet.Store(next)
+	next.informed = next.planned && len(next.engines) > 0 && hasRecord(s.cache, holdingsPrefix+s.self.hall)
+	s.snapshot.Store(next)
 }
 
-// lists tells whether the box list names an upstream.
-func (f *fleet) lists(upstream string) bool {
+// add puts an engine in; the snapshot is not in use yet.
+func (f *fleetSnapshot) add(state engineState) {
+	f.engines[state.box.ID] = state
+	f.slots[state.box.Pool] += state.holding.Slots
+	for _, item := range state.holding.Resident {
+		f.holders[item] = append(f.holders[item], state.box.ID)
+	}
+}
+
+// lists reports whether the box list names an upstream.
+func (f *fleetSnapshot) lists(upstream string) bool {
 	if _, ok := f.engines[upstream]; ok {
 		return true
 	}
@@ -124,9 +142,9 @@
 	return false
 }
 
-// residentSince tells since when each of an engine's items is known to be there.
-func (b *Box) residentSince(id string, holding orders.Holding) map[string]time.Time {
-	old := b.fleet.Load().engines[id]
+// residentSince returns when each of an engine's items was first seen on its present incarnation.
+func (s *fleetState) residentSince(id string, holding orders.Holding) map[string]time.Time {
+	old := s.snapshot.Load().engines[id]
 	since := make(map[string]time.Time, len(holding.Resident))
 	for _, item := range holding.Resident {
 		since[item] = time.Now()
@@ -137,75 +155,69 @@
 	return since
 }
 
-// noteIncarnation forgets what an engine cached or said before its last start.
-func (b *Box) noteIncarnation(id string, holding orders.Holding) {
-	old, ok := b.fleet.Load().engines[id]
+// noteReport marks an engine that reports that it is leaving. After a restart of the engine it drops what the engine
+// cached, and that it was leaving.
+func (s *fleetState) noteReport(id string, holding orders.Holding) {
+	old, ok := s.snapshot.Load().engines[id]
 	if ok && old.reported && holding.Incarnation != "" && old.holding.Incarnation != holding.Incarnation {
-		b.router.CacheGone(id)
-		b.view.MarkStaying(id)
+		s.router.CacheGone(id)
+		s.view.MarkStaying(id)
 	}
 	if holding.Leaving {
-		b.view.MarkLeaving(id)
+		s.view.MarkLeaving(id)
 	}
 }
 
-// candidates lists the engines that can take a request: they confirmed the model and
-// its adapter, and nobody says that they leave.
-func (b *Box) candidates(item, adapter string) []routing.Candidate {
-	f := b.fleet.Load()
-	boxes := b.view.LiveCount() + 1
+// leaving reports whether any source has an upstream as leaving: the box list, its hall's controller, or the
+// upstream itself.
+func (s *fleetState) leaving(state engineState) bool {
+	return state.box.Leaving || state.holding.Leaving || s.view.IsLeaving(state.box.ID)
+}
+
+// candidates lists the engines that can take a request: they confirmed the model and its adapter, and no source has
+// them as leaving.
+func (s *fleetState) candidates(item, adapter string) []routing.Candidate {
+	f := s.snapshot.Load()
+	boxes := s.view.LiveCount() + 1
 	var list []routing.Candidate
 	for _, id := range f.holders[item] {
-		info := f.engines[id]
-		if info.box.Leaving || info.holding.Leaving || b.view.IsLeaving(id) {
-			continue
-		}
-		if adapter != "" && !slices.Contains(info.holding.Resident, adapter) {
+		state := f.engines[id]
+		if s.leaving(state) || (adapter != "" && !slices.Contains(state.holding.Resident, adapter)) {
 			continue
 		}
-		c := b.loads.candidate(id, info)
-		if info.box.Hall != b.config.Hall {
-			c.Distance = b.config.HallDistance
-		}
-		c.PeersSent = b.sent.since(id)
-		c.Boxes = boxes
-		list = append(list, c)
+		candidate := s.loads.candidate(id, state)
+		candidate.Distance = s.distance(state.box)
+		candidate.PeersSent = s.sent.sinceReport(id)
+		candidate.Boxes = boxes
+		list = append(list, candidate)
 	}
 	return list
 }
 
-// placementEngines describes the engines to the planner.
-func (b *Box) placementEngines() []placement.Engine {
-	f := b.fleet.Load()
-	engines := make([]placement.Engine, 0, len(f.engines))
-	for id, info := range f.engines {
-		e := placement.Engine{
-			ID:       id,
-			Hall:     info.box.Hall,
-			Pool:     info.box.Pool,
-			Memory:   info.box.Memory,
-			Slots:    info.box.Slots,
-			Resident: info.since,
-			Plan:     info.holding.Plan,
-		}
-		switch {
-		case info.box.Leaving || info.holding.Leaving || b.view.IsLeaving(id):
-			e.Condition = placement.Leaving
-		case !b.loads.heard(id):
-			e.Condition = placement.Unheard
-		}
-		if info.reported {
-			e.Memory, e.Slots = min(e.Memory, info.holding.Capacity), info.holding.Slots
-		}
-		engines = append(engines, e)
+// distance is the extra time to reach an upstream.
+func (s *fleetState) distance(box membership.Box) time.Duration {
+	if box.Hall != s.self.hall {
+		return s.hallDistance
 	}
-	return engines
+	return 0
 }
 
-func decodeRecord[T any](cache *records.Cache, name string) T {
-	var value T
-	if record, ok := cache.Get(name); ok {
-		_ = json.Unmarshal(record.Value, &value)
+// serviceCandidates lists the upstreams of a pool of plain services that no source has as leaving, with their boxes
+// by id. Plain services report no load.
+func (s *fleetState) serviceCandidates(pool string) ([]routing.Candidate, map[string]membership.Box) {
+	byID := map[string]membership.Box{}
+	var list []routing.Candidate
+	for _, box := range s.snapshot.Load().services[pool] {
+		if box.Leaving || s.view.IsLeaving(box.ID) {
+			continue
+		}
+		byID[box.ID] = box
+		list = append(list, routing.Candidate{
+			ID:       box.ID,
+			Slots:    serviceSlots,
+			Reported: time.Now(),
+			Distance: s.distance(box),
+		})
 	}
-	return value
+	return list, byID
 }
--- a/internal/box/inference.go
+++ b/internal/box/inference.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"crypto/sha256"
 	"net/http"
 	"strings"
 
@@ -75,7 +74,7 @@
 
 // resolve finds the caller's customer and the model in the bundle in force.
 func (b *Box) resolve(header http.Header, r *ospreymoorv1.GenerateRequest) (*job, *refusal) {
-	who, refused := b.authenticate(header)
+	who, refused := b.inForce.authenticate(header)
 	if refused != nil {
 		return nil, refused
 	}
@@ -96,27 +95,10 @@
 			return j, refused
 		}
 	}
-	j.item = b.weights.choose(b.fleet.Load(), j.key, bundle.ModelItem(who.bundle.Customer, model))
+	j.item = b.weights.choose(b.fleet.snapshot.Load(), j.key, bundle.ModelItem(who.bundle.Customer, model))
 	return j, nil
 }
 
-// authenticate finds the caller by the token; it tells nothing about other customers.
-func (b *Box) authenticate(header http.Header) (caller, *refusal) {
-	f := b.inForce.Load()
-	if f == nil {
-		return caller{}, notRun(connect.CodeUnavailable, reasonStarting, "the box is starting", comeBack)
-	}
-	token, ok := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
-	if !ok {
-		return caller{}, notRun(connect.CodeUnauthenticated, reasonToken, "send the header Authorization: Bearer TOKEN", 0)
-	}
-	who, ok := f.callers[sha256.Sum256([]byte(token))]
-	if !ok {
-		return caller{}, notRun(connect.CodeUnauthenticated, reasonToken, "no bundle in force names this token", 0)
-	}
-	return who, nil
-}
-
 func checkKey(key string) *refusal {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -137,7 +119,7 @@
 		},
 		Wait:   choice.Wait,
 		Target: durationOf(j.model.FirstToken),
-		Slots:  b.fleet.Load().slots[j.model.Pool],
+		Slots:  b.fleet.snapshot.Load().slots[j.model.Pool],
 	})
 	if refused != nil {
 		b.demand.Miss(j.key, b.router.Service(j.item))
--- a/internal/box/leaving_test.go
+++ b/internal/box/leaving_test.go
@@ -56,14 +56,14 @@
 
 // forgetLeaving makes a box believe that an engine stays.
 func (b *testBox) forgetLeaving(id string) {
-	old := b.fleet.Load()
+	old := b.fleet.snapshot.Load()
 	next := *old
-	next.engines = map[string]engineInfo{}
+	next.engines = map[string]engineState{}
 	for name, info := range old.engines {
 		if name == id {
 			info.holding.Leaving = false
 		}
 		next.engines[name] = info
 	}
-	b.fleet.Store(&next)
+	b.fleet.snapshot.Store(&next)
 }
--- a/internal/box/loads.go
+++ b/internal/box/load_table.go
@@ -8,7 +8,14 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// loadTable holds the latest load of each engine.
+const (
+	// silentEngine is after how long without a report an engine counts as silent. Chosen, not measured.
+	silentEngine = 15 * time.Second
+	// neverTaken is the age of loads that were never taken in: any age above farLoadsAge has them fetched.
+	neverTaken = time.Hour
+)
+
+// loadTable owns the latest load report of each engine.
 type loadTable struct {
 	mu    sync.Mutex
 	loads map[string]loadReport
@@ -16,19 +23,17 @@
 	takenAt map[string]time.Time
 }
 
+// loadReport is an engine's load with the time at which this box took it in.
 type loadReport struct {
 	load orders.Load
 	at   time.Time
 }
 
-// silentEngine is after how long without a report an engine counts as unheard.
-const silentEngine = 15 * time.Second
-
 func newLoadTable() *loadTable {
 	return &loadTable{loads: map[string]loadReport{}, takenAt: map[string]time.Time{}}
 }
 
-// take takes a hall's record in.
+// take takes the record of a hall's loads in.
 func (t *loadTable) take(name string, loads orders.Loads) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +44,8 @@
 	}
 }
 
-func (t *loadTable) heard(id string) bool {
+// reporting reports whether an engine's load came within silentEngine.
+func (t *loadTable) reporting(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report, ok := t.loads[id]
@@ -47,26 +53,26 @@
 }
 
 // candidate describes an engine to the router.
-func (t *loadTable) candidate(id string, info engineInfo) routing.Candidate {
+func (t *loadTable) candidate(id string, state engineState) routing.Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report := t.loads[id]
 	return routing.Candidate{
 		ID:       id,
-		Slots:    info.holding.Slots,
+		Slots:    state.holding.Slots,
 		Running:  report.load.Running,
 		Queued:   report.load.Queued,
 		Reported: report.at,
 	}
 }
 
-// age is how long ago a hall's loads were last taken in.
+// age is how long ago the record of a hall's loads was last taken in.
 func (t *loadTable) age(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at, ok := t.takenAt[name]
 	if !ok {
-		return time.Hour
+		return neverTaken
 	}
 	return time.Since(at)
 }
--- /dev/null
+++ b/internal/box/members.go
@@ -0,0 +1,42 @@
+package box
+
+import "ospreymoor.example/ospreymoor/pkg/membership"
+
+// watchersPerHall is how many boxes of a hall watch the store; the others learn of changes by heartbeat.
+// Chosen, not measured: one is watched for by the other (docs/design/records.md).
+const watchersPerHall = 2
+
+// members is the fleet's entry boxes as this one sees them. Boxes that can't reach the key-value service take no
+// part in what needs it.
+type members struct {
+	self *self
+	view *membership.View
+}
+
+// inHall lists the boxes of this hall that reach the store, this one included; this box alone if no other
+// sends heartbeats.
+func (m *members) inHall() []string {
+	ids := []string{m.self.id}
+	for _, p := range m.view.Live() {
+		if p.Hall == m.self.hall && p.Store {
+			ids = append(ids, p.ID)
+		}
+	}
+	return ids
+}
+
+// inFleet lists all boxes that reach the store, this one included.
+func (m *members) inFleet() []string {
+	ids := []string{m.self.id}
+	for _, p := range m.view.Live() {
+		if p.Store {
+			ids = append(ids, p.ID)
+		}
+	}
+	return ids
+}
+
+// selfWatchesStore reports whether this box is one of its hall's watchers: the first by rendezvous hashing.
+func (m *members) selfWatchesStore() bool {
+	return membership.Among("watch/"+m.self.hall, m.inHall(), m.self.id, watchersPerHall)
+}
--- a/internal/box/operators.go
+++ b/internal/box/operators.go
@@ -107,7 +107,7 @@
 		return nil, operatorError(err)
 	}
 	answer := &ospreymoorv1.ListBundlesResponse{}
-	if f := s.inForce.Load(); f != nil {
+	if f := s.inForce.current.Load(); f != nil {
 		answer.Generation = f.generation
 	}
 	for _, b := range list {
--- a/internal/box/pages.go
+++ b/internal/box/pages.go
@@ -42,7 +42,7 @@
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
-	if b.draining.Load() {
+	if b.self.draining.Load() {
 		_, _ = fmt.Fprintln(w, "draining")
 		return
 	}
--- a/internal/box/planner.go
+++ b/internal/box/planner.go
@@ -7,7 +7,6 @@
 	"github.com/juju/errors"
 	"go.uber.org/zap"
 
-	"ospreymoor.example/ospreymoor/pkg/bundle"
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
@@ -70,25 +69,25 @@
 // replan writes the next plan if it differs from the one that stands.
 func (c *control) replan(ctx context.Context, term int64) error {
 	b := c.box
-	f := b.inForce.Load()
-	if f == nil || b.view.Size() == 0 || !b.servesNewest(f) {
+	f := b.inForce.current.Load()
+	if f == nil || b.view.Size() == 0 || !b.inForce.newest(f) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, planTime)
 	defer cancel()
 	in := placement.Input{
-		Engines:  b.placementEngines(),
-		Wanted:   units(f.bundles, b.demand.total()),
+		Engines:  b.fleet.placementEngines(),
+		Wanted:   wantedUnits(f.bundles, b.demand.total()),
 		Settings: b.config.Placement,
 		Now:      time.Now().UTC().Truncate(time.Millisecond),
 	}
 	in.Settings.RetireAfter, in.Settings.Settle = retireAfter, settleTime
 	// The plan that is known here stands most of the time: then nothing is read or written.
-	in.Last = b.fleet.Load().plan
-	if next := placement.Next(in); b.fleet.Load().planned && next.Equal(in.Last) && in.Last.Term == term {
+	in.Last = b.fleet.snapshot.Load().plan
+	if next := placement.Next(in); b.fleet.snapshot.Load().planned && next.Equal(in.Last) && in.Last.Term == term {
 		return nil
 	}
-	document, err := kv.UpdateDocument(ctx, b.store, planKey, func(last placement.Plan) (placement.Plan, error) {
+	document, err := kv.UpdateDocument(ctx, b.store, planRecord, func(last placement.Plan) (placement.Plan, error) {
 		if last.Term > term {
 			return last, errOtherPlanner
 		}
@@ -110,10 +109,3 @@
 	b.set.GetOrCreateCounter("ospreymoor_plans_total").Inc()
 	return nil
 }
-
-// servesNewest tells whether a table in force is the newest this box knows of. A planner that
-// goes by an older one would plan away the models of a bundle that was just rolled.
-func (b *Box) servesNewest(f *inForce) bool {
-	record, ok := b.cache.Get(bundle.TableKey)
-	return !ok || f.generation >= record.Generation.Term
-}
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -54,7 +54,7 @@
 			cancel()
 			probing.Wait()
 			Expect(refused).To(BeEmpty())
-			plan := t.boxes["h2-b1"].fleet.Load().plan
+			plan := t.boxes["h2-b1"].fleet.snapshot.Load().plan
 			Expect(plan.Serving).To(HaveKeyWithValue("acme/m1", "acme/m1@w4"), "the roll got through")
 		})
 	})
@@ -76,7 +76,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 			defer cancel()
 			Expect(probe(ctx, t, t.boxes["h2-b1"], models)).To(BeEmpty())
-			for _, copies := range t.boxes["h2-b1"].fleet.Load().plan.Units {
+			for _, copies := range t.boxes["h2-b1"].fleet.snapshot.Load().plan.Units {
 				alive := slices.DeleteFunc(slices.Clone(copies.Places), func(p placement.Place) bool { return p.Engine == "h1-e1" })
 				Expect(len(alive)).To(BeNumerically(">=", 2), "the lost copy of %s was made anew", copies.Model)
 			}
--- a/internal/box/refusal.go
+++ b/internal/box/refusal.go
@@ -40,6 +40,9 @@
 	return false
 }
 
+// remedyToken is the remedy of a request without a token.
+const remedyToken = "send the header Authorization: Bearer TOKEN"
+
 // comeBack is when to come back if nothing better is known.
 const comeBack = time.Second
 
--- a/internal/box/run.go
+++ b/internal/box/run.go
@@ -38,14 +38,14 @@
 
 // choose picks an engine that holds what the job needs and has not refused it.
 func (b *Box) choose(j *job) (choice, *refusal) {
-	list := b.candidates(j.item, j.adapter)
+	list := b.fleet.candidates(j.item, j.adapter)
 	list = slices.DeleteFunc(list, func(c routing.Candidate) bool { return j.refusedBy[c.ID] })
 	picked, err := b.router.Pick(j.item, j.request.GetPrompt(), list)
 	if err != nil {
 		b.demand.Miss(j.key, b.router.Service(j.item))
 		return choice{}, notRun(connect.CodeUnavailable, reasonNoUpstream, "no engine holds the model at the moment", comeBack)
 	}
-	incarnation := b.fleet.Load().engines[picked.ID].holding.Incarnation
+	incarnation := b.fleet.snapshot.Load().engines[picked.ID].holding.Incarnation
 	return choice{Choice: picked, incarnation: incarnation}, nil
 }
 
@@ -140,7 +140,7 @@
 
 // engineClient returns the client of an engine of the box list.
 func (b *Box) engineClient(id string) *engine.Client {
-	return b.engines.get(id, b.fleet.Load().engines[id].box)
+	return b.engines.get(id, b.fleet.snapshot.Load().engines[id].box)
 }
 
 // noteFailure keeps the job from an engine that refused it, and all requests from one that
--- a/internal/box/run_once.go
+++ b/internal/box/run_once.go
@@ -158,7 +158,7 @@
 func (b *Box) joinRun(ctx context.Context, o once, claim claims.Claim, d *delivery) (again bool, refused *refusal) {
 	b.set.GetOrCreateCounter("ospreymoor_joined_total").Inc()
 	d.begin(claim.RequestID)
-	f := b.fleet.Load()
+	f := b.fleet.snapshot.Load()
 	if _, ok := f.engines[claim.Upstream]; !ok {
 		return false, unknown(reasonClaimedGone, "the engine that the request was given to is gone; "+remedyUnknown)
 	}
@@ -191,7 +191,7 @@
 func (b *Box) vouched(claim claims.Claim) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
 	defer cancel()
-	if _, ok := b.fleet.Load().engines[claim.Upstream]; !ok {
+	if _, ok := b.fleet.snapshot.Load().engines[claim.Upstream]; !ok {
 		return false
 	}
 	answer, err := b.engineClient(claim.Upstream).Cancel(ctx, claim.RequestID)
--- a/internal/box/services.go
+++ b/internal/box/services.go
@@ -108,7 +108,7 @@
 }
 
 func (b *Box) resolveCall(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
-	who, refused := b.authenticate(r.Header)
+	who, refused := b.inForce.authenticate(r.Header)
 	if refused != nil {
 		return nil, refused
 	}
@@ -191,7 +191,7 @@
 
 // chooseService picks an upstream of the service's pool, one of this hall if there is any.
 func (b *Box) chooseService(c *call) (membership.Box, *refusal) {
-	f := b.fleet.Load()
+	f := b.fleet.snapshot.Load()
 	byID := map[string]membership.Box{}
 	var list []routing.Candidate
 	for _, box := range f.services[c.service.Pool] {
--- a/internal/box/sync.go
+++ b/internal/box/sync.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"math/rand/v2"
 	"net/http"
 	"strings"
 	"time"
@@ -18,10 +17,6 @@
 )
 
 const (
-	// fleetPrefix covers the table in force and the plan, so that one watch is enough.
-	fleetPrefix = "fleet/"
-	// watchersPerHall boxes watch the store; the others hear of changes from them.
-	watchersPerHall = 2
 	// storeRetry is the pause after a watch ended or could not be made.
 	storeRetry = time.Second
 	// pollInterval is how often a box that does not watch reads the store itself.
@@ -45,7 +40,7 @@
 			pause(ctx, jitter(storeRetry))
 			continue
 		}
-		if !b.watches() {
+		if !b.members.selfWatchesStore() {
 			b.waitForTurn(ctx)
 			continue
 		}
@@ -56,7 +51,7 @@
 
 // readStore reads all shared records, and returns the highest revision among them.
 func (b *Box) readStore(ctx context.Context) (int64, error) {
-	list, err := b.store.List(ctx, fleetPrefix)
+	list, err := b.store.List(ctx, storePrefix)
 	if err != nil {
 		return 0, err
 	}
@@ -69,10 +64,7 @@
 			Value:      record.Value,
 		})
 	}
-	if b.inForce.Load() == nil && !hasKey(b.cache, bundle.TableKey) {
-		// The store answered and has no table: nothing is in force yet.
-		b.inForce.CompareAndSwap(nil, &inForce{})
-	}
+	b.inForce.adoptNothing()
 	return highest, nil
 }
 
@@ -80,7 +72,7 @@
 func (b *Box) watchStore(ctx context.Context, from int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	events, err := b.store.Watch(ctx, kv.Watching{Prefix: fleetPrefix, From: from})
+	events, err := b.store.Watch(ctx, kv.Watching{Prefix: storePrefix, From: from})
 	if err != nil {
 		return
 	}
@@ -94,7 +86,7 @@
 			}
 			b.cacheEvents(batch)
 		case <-check.C:
-			if !b.watches() {
+			if !b.members.selfWatchesStore() {
 				return
 			}
 		}
@@ -119,17 +111,12 @@
 func (b *Box) waitForTurn(ctx context.Context) {
 	end := time.Now().Add(jitter(pollInterval))
 	for time.Now().Before(end) && pause(ctx, storeRetry) {
-		if b.watches() {
+		if b.members.selfWatchesStore() {
 			return
 		}
 	}
 }
 
-// watches tells whether this box is one of its hall's watchers.
-func (b *Box) watches() bool {
-	return membership.Among("watch/"+b.config.Hall, b.hallBoxes(), b.config.ID, watchersPerHall)
-}
-
 // followBoxes reads the platform's box list.
 func (b *Box) followBoxes(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -138,7 +125,7 @@
 		}
 		b.tidy()
 		interval := boxesInterval
-		if !b.watches() {
+		if !b.members.selfWatchesStore() {
 			interval = pollInterval
 		}
 		pause(ctx, jitter(interval))
@@ -165,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	b.cache.Put(records.Record{Name: boxesRecord, Generation: records.Generation{Term: list.Generation}, Value: value})
+	b.cache.Put(records.Record{Name: boxListRecord, Generation: records.Generation{Term: list.Generation}, Value: value})
 	return nil
 }
 
@@ -175,11 +162,11 @@
 	for _, p := range b.view.Live() {
 		incarnations[p.Incarnation] = true
 	}
-	b.sent.forget(incarnations)
-	fleet := b.fleet.Load()
+	b.fleet.sent.forget(incarnations)
+	fleet := b.fleet.snapshot.Load()
 	b.engines.forget(fleet.engines)
 	b.router.Forget(fleet.lists)
-	f := b.inForce.Load()
+	f := b.inForce.current.Load()
 	if f == nil {
 		return
 	}
@@ -187,7 +174,7 @@
 	for customer, entry := range f.table.Customers {
 		texts[bundle.TextKey(customer, entry.Version)] = true
 	}
-	b.cache.Forget(func(name string) bool { return shared(name) || texts[name] })
+	b.cache.Forget(func(name string) bool { return isShared(name) || texts[name] })
 }
 
 // applyRecords turns records that were taken in into what requests are served by.
@@ -201,7 +188,7 @@
 		}
 		news := b.newRecords(applied)
 		b.applyFleet(news)
-		if err := b.adoptInForce(ctx); err != nil {
+		if err := b.inForce.adopt(ctx); err != nil {
 			b.set.GetOrCreateCounter("ospreymoor_adopt_failures_total").Inc()
 			b.log.Warn("table not put in force yet", zap.Error(err))
 			time.AfterFunc(adoptRetry, func() { wake(b.recordNews) })
@@ -225,36 +212,26 @@
 	changed := false
 	for _, name := range news {
 		switch {
-		case name == boxesRecord:
-			b.view.SetList(decodeRecord[membership.List](b.cache, name))
+		case name == boxListRecord:
+			b.view.SetList(readRecord[membership.List](b.reader, name))
 			changed = true
-		case name == planKey, strings.HasPrefix(name, holdingsPrefix):
+		case name == planRecord, strings.HasPrefix(name, holdingsPrefix):
 			changed = true
 		case strings.HasPrefix(name, loadsPrefix):
-			b.applyLoads(name, decodeRecord[orders.Loads](b.cache, name))
+			b.applyLoads(name, readRecord[orders.Loads](b.reader, name))
 		}
-		if name == bundle.TableKey || name == planKey {
+		if name == bundle.TableKey || name == planRecord {
 			wake(b.beatNow)
 		}
 	}
 	if changed {
-		b.adoptFleet()
+		b.fleet.rebuild()
 	}
 }
 
 func (b *Box) applyLoads(name string, loads orders.Loads) {
-	b.loads.take(name, loads)
+	b.fleet.loads.take(name, loads)
 	for id := range loads.Engines {
-		b.sent.reported(id)
+		b.fleet.sent.reported(id)
 	}
 }
-
-func hasKey(cache *records.Cache, name string) bool {
-	_, ok := cache.Get(name)
-	return ok
-}
-
-// jitter spreads a pause by a quarter, so that boxes do not act in step.
-func jitter(wait time.Duration) time.Duration {
-	return wait - wait/8 + rand.N(wait/4)
-}
--- a/internal/box/synthetic_test.go
+++ b/internal/box/synthetic_test.go
@@ -35,8 +35,8 @@
 		in.Wanted = append(in.Wanted, unit)
 	}
 	plan := placement.Next(in)
-	putValue(box, boxesRecord, list)
-	putValue(box, planKey, kv.Document[placement.Plan]{Body: plan})
+	putValue(box, boxListRecord, list)
+	putValue(box, planRecord, kv.Document[placement.Plan]{Body: plan})
 	holdings := map[string]orders.Holdings{}
 	for _, e := range in.Engines {
 		if holdings[e.Hall].Engines == nil {
@@ -68,7 +68,7 @@
 }
 
 func planBytes(box *Box) int {
-	record, _ := box.cache.Get(planKey)
+	record, _ := box.cache.Get(planRecord)
 	return len(record.Value)
 }
 
