--- a/internal/box/body.go
+++ b/internal/box/body_deadline.go
@@ -27,10 +27,11 @@
 // timedBody lifts the deadline when the body is read to its end.
 type timedBody struct {
 	io.ReadCloser
+	// read runs at the end of the body.
 	read func()
 }
 
-// Read reads on.
+// Read reads the next piece.
 func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
--- a/internal/box/bundles_in_force_test.go
+++ b/internal/box/bundles_in_force_test.go
@@ -144,10 +144,10 @@
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 			t.awaitModels("writer")
-			peer := t.boxes["h1-b2"].config.PeerAddress
+			peer := t.boxes["h1-b2"].config.Peers.Address
 			t.platform.SetMode(standin.FaultDown)
 			t.kill("h1-b1")
-			spec.config = func(c *Config) { c.Peers = []string{peer} }
+			spec.config = func(c *Config) { c.Peers.Known = []string{peer} }
 			fresh := t.startBox(spec, "h1", "h1-b1")
 			Expect(fresh.Ready()).To(BeFalse())
 			t.until(10*time.Second, func() error {
--- /dev/null
+++ b/internal/box/burn_reports.go
@@ -0,0 +1,87 @@
+package box
+
+import (
+	"context"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"ospreymoor.example/ospreymoor/internal/peer"
+	"ospreymoor.example/ospreymoor/pkg/burn"
+	"ospreymoor.example/ospreymoor/pkg/membership"
+)
+
+const (
+	// burnInterval is how often a box gives its counters to others to keep. Chosen, not measured.
+	burnInterval = 15 * time.Second
+	// burnKeepers is how many boxes keep another's counters. Chosen, not measured.
+	burnKeepers = 2
+)
+
+// burnReports owns this box's counters for the burn report, and the copies that it keeps of others'.
+type burnReports struct {
+	self     *self
+	view     *membership.View
+	recorder *burn.Recorder
+	keeper   *burn.Keeper
+	peers    *peer.Client
+	set      *metrics.Set
+}
+
+// run gives this box's counters to a few others, so that they outlive it, until ctx ends.
+func (r *burnReports) run(ctx context.Context) {
+	for pause(ctx, jitter(burnInterval)) {
+		r.push(ctx)
+	}
+}
+
+// push gives this box's counters to its keepers now.
+func (r *burnReports) push(ctx context.Context) {
+	live := r.view.Live()
+	addresses := map[string]string{}
+	ids := make([]string, 0, len(live))
+	for _, p := range live {
+		ids = append(ids, p.ID)
+		addresses[p.ID] = p.Address
+	}
+	request := peer.KeepBurnRequest{Snapshot: r.recorder.Snapshot()}
+	ranked := membership.Rank("burn/"+r.self.id, ids)
+	for _, id := range ranked[:min(burnKeepers, len(ranked))] {
+		if _, err := callPeer[peer.Empty](ctx, r.peers, addresses[id], peer.MethodKeepBurn, request); err != nil {
+			r.set.GetOrCreateCounter("ospreymoor_burn_keep_failures_total").Inc()
+		}
+	}
+}
+
+// keep keeps another box's counters.
+func (r *burnReports) keep(_ context.Context, request peer.KeepBurnRequest) (peer.Empty, error) {
+	r.keeper.Keep(request.Snapshot)
+	return peer.Empty{}, nil
+}
+
+// held returns the counters on this box: its own, and the copies of others'.
+func (r *burnReports) held() []burn.Snapshot {
+	return append(r.keeper.Snapshots(), r.recorder.Snapshot())
+}
+
+// answer answers another box's question for the counters on this box.
+func (r *burnReports) answer(context.Context, peer.Empty) (peer.BurnResponse, error) {
+	return peer.BurnResponse{Snapshots: r.held()}, nil
+}
+
+// gather collects the counters of all boxes and the copies that they keep, with the boxes that answered and those
+// that did not.
+func (r *burnReports) gather(ctx context.Context) (snapshots []burn.Snapshot, boxes, missing []string) {
+	snapshots = r.held()
+	boxes = []string{r.self.id}
+	for _, entry := range r.view.Entries() {
+		answer, err := callPeer[peer.BurnResponse](ctx, r.peers, entry.Address, peer.MethodBurn, peer.Empty{})
+		if err != nil {
+			missing = append(missing, entry.ID)
+			continue
+		}
+		boxes = append(boxes, entry.ID)
+		snapshots = append(snapshots, answer.Snapshots...)
+	}
+	return snapshots, boxes, missing
+}
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -221,3 +221,11 @@
 	}
 	return list, byID
 }
+
+// takeLoads takes the record of a hall's loads in: each engine's report covers what was sent to it so far.
+func (s *fleetState) takeLoads(name string, loads orders.Loads) {
+	s.loads.take(name, loads)
+	for id := range loads.Engines {
+		s.sent.reported(id)
+	}
+}
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -146,12 +146,15 @@
 	host := fmt.Sprintf("%s.%d", id, t.starts)
 	sum := sha256.Sum256([]byte(operatorToken))
 	config := Config{
-		ID: id, Hall: hall, PeerAddress: host + ":2", PlatformURL: "http://platform:1",
-		Operators:   map[string]string{"acme": hex.EncodeToString(sum[:])},
-		DrainNotice: time.Second, Reads: 200, Writes: 50, ClaimWindow: time.Hour,
-		LeaseTTL: 6 * time.Second, OrderLife: 10 * time.Second, BeatInterval: time.Second,
-		HallDistance: 5 * time.Millisecond, MaxBody: 4 << 20, Log: zap.NewNop(),
-		Placement: placement.Settings{MoveCost: 0.2}, Dial: t.net.dialer(host),
+		ID: id, Hall: hall, Log: zap.NewNop(), Dial: t.net.dialer(host),
+		Operators: map[string]string{"acme": hex.EncodeToString(sum[:])},
+		Peers:     PeerConfig{Address: host + ":2", HeartbeatInterval: time.Second},
+		Platform:  PlatformConfig{URL: "http://platform:1", ReadsPerSecond: 200, WritesPerSecond: 50},
+		Drain:     DrainConfig{Notice: time.Second},
+		Requests:  RequestConfig{MaxBody: 4 << 20, ClaimWindow: time.Hour, HallDistance: 5 * time.Millisecond},
+		Control: ControlConfig{
+			LeaseTTL: 6 * time.Second, OrderLife: 10 * time.Second, Placement: placement.Settings{MoveCost: 0.2},
+		},
 	}
 	if spec.config != nil {
 		spec.config(&config)
@@ -159,12 +162,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &testBox{Box: New(config), address: host + ":1", host: host, stop: cancel, stopped: make(chan struct{})}
 	t.boxes[id] = b
-	listener, peerListener := t.net.listen(b.address), t.net.listen(config.PeerAddress)
+	listener, peerListener := t.net.listen(b.address), t.net.listen(config.Peers.Address)
 	go func() {
 		defer close(b.stopped)
 		_ = b.Serve(ctx, listener, peerListener)
 	}()
-	t.platform.SetBox(membership.Box{ID: id, Kind: membership.KindEntry, Hall: hall, Address: config.PeerAddress})
+	t.platform.SetBox(membership.Box{ID: id, Kind: membership.KindEntry, Hall: hall, Address: config.Peers.Address})
 	return b
 }
 
--- a/internal/box/operators.go
+++ b/internal/box/operator_server.go
@@ -6,26 +6,34 @@
 	"crypto/subtle"
 	"encoding/hex"
 	"net/http"
-	"strings"
 	"time"
 
 	"connectrpc.com/connect"
+	"github.com/VictoriaMetrics/metrics"
 	"github.com/juju/errors"
 	"google.golang.org/protobuf/types/known/timestamppb"
 
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
-	"ospreymoor.example/ospreymoor/internal/peer"
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 	"ospreymoor.example/ospreymoor/pkg/burn"
 	"ospreymoor.example/ospreymoor/pkg/kv"
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// operators serves those who sign off, roll and retire bundles.
-type operators struct{ *Box }
+// operatorServer serves the operators of customers, who sign off, roll and retire bundles, over Connect.
+type operatorServer struct {
+	// tokens holds the SHA-256 of each operator's token, in hex, by customer.
+	tokens   map[string]string
+	registry *bundle.Registry
+	inForce  *bundlesInForce
+	follower *storeFollower
+	burn     *burnReports
+	counters *requestCounters
+	set      *metrics.Set
+}
 
 // CheckBundle checks a bundle's text.
-func (s operators) CheckBundle(_ context.Context, r *connect.Request[ospreymoorv1.CheckBundleRequest]) (*connect.Response[ospreymoorv1.CheckBundleResponse], error) {
+func (s *operatorServer) CheckBundle(_ context.Context, r *connect.Request[ospreymoorv1.CheckBundleRequest]) (*connect.Response[ospreymoorv1.CheckBundleResponse], error) {
 	customer, err := s.operator(r.Header())
 	if err != nil {
 		return nil, err
@@ -44,7 +52,7 @@
 }
 
 // SignOffBundle stores a bundle version for good.
-func (s operators) SignOffBundle(ctx context.Context, r *connect.Request[ospreymoorv1.SignOffBundleRequest]) (*connect.Response[ospreymoorv1.SignOffBundleResponse], error) {
+func (s *operatorServer) SignOffBundle(ctx context.Context, r *connect.Request[ospreymoorv1.SignOffBundleRequest]) (*connect.Response[ospreymoorv1.SignOffBundleResponse], error) {
 	customer, err := s.operator(r.Header())
 	if err != nil {
 		return nil, err
@@ -65,7 +73,7 @@
 }
 
 // RollBundle puts a version in force.
-func (s operators) RollBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RollBundleRequest]) (*connect.Response[ospreymoorv1.RollBundleResponse], error) {
+func (s *operatorServer) RollBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RollBundleRequest]) (*connect.Response[ospreymoorv1.RollBundleResponse], error) {
 	generation, err := s.change(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Roll)
 	if err != nil {
 		return nil, err
@@ -74,7 +82,7 @@
 }
 
 // RetireBundle takes the version in force out of service.
-func (s operators) RetireBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RetireBundleRequest]) (*connect.Response[ospreymoorv1.RetireBundleResponse], error) {
+func (s *operatorServer) RetireBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RetireBundleRequest]) (*connect.Response[ospreymoorv1.RetireBundleResponse], error) {
 	generation, err := s.change(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Retire)
 	if err != nil {
 		return nil, err
@@ -83,7 +91,7 @@
 }
 
 // change changes the table in force for the operator's customer, and takes the change in here.
-func (s operators) change(ctx context.Context, header http.Header, version uint64, do func(context.Context, string, uint64) (int64, error)) (int64, error) {
+func (s *operatorServer) change(ctx context.Context, header http.Header, version uint64, do func(context.Context, string, uint64) (int64, error)) (int64, error) {
 	customer, err := s.operator(header)
 	if err != nil {
 		return 0, err
@@ -97,7 +105,7 @@
 }
 
 // ListBundles lists the operator's own versions.
-func (s operators) ListBundles(ctx context.Context, r *connect.Request[ospreymoorv1.ListBundlesRequest]) (*connect.Response[ospreymoorv1.ListBundlesResponse], error) {
+func (s *operatorServer) ListBundles(ctx context.Context, r *connect.Request[ospreymoorv1.ListBundlesRequest]) (*connect.Response[ospreymoorv1.ListBundlesResponse], error) {
 	customer, err := s.operator(r.Header())
 	if err != nil {
 		return nil, err
@@ -122,12 +130,12 @@
 }
 
 // GetBurn reports the service level of the operator's own models over all boxes.
-func (s operators) GetBurn(ctx context.Context, r *connect.Request[ospreymoorv1.GetBurnRequest]) (*connect.Response[ospreymoorv1.GetBurnResponse], error) {
+func (s *operatorServer) GetBurn(ctx context.Context, r *connect.Request[ospreymoorv1.GetBurnRequest]) (*connect.Response[ospreymoorv1.GetBurnResponse], error) {
 	customer, err := s.operator(r.Header())
 	if err != nil {
 		return nil, err
 	}
-	snapshots, boxes, missing := s.gatherBurn(ctx)
+	snapshots, boxes, missing := s.burn.gather(ctx)
 	answer := &ospreymoorv1.GetBurnResponse{Boxes: boxes, Missing: missing}
 	since := time.Now()
 	for _, snapshot := range snapshots {
@@ -144,24 +152,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// gatherBurn collects the counters of all boxes, and those that they keep of others.
-func (b *Box) gatherBurn(ctx context.Context) (snapshots []burn.Snapshot, boxes, missing []string) {
-	snapshots = append(b.keeper.Snapshots(), b.burn.Snapshot())
-	boxes = []string{b.config.ID}
-	for _, entry := range b.view.Entries() {
-		callCtx, cancel := context.WithTimeout(ctx, peerCallTime)
-		answer, err := peer.Call[peer.BurnResponse](callCtx, b.peers, entry.Address, peer.MethodBurn, peer.Empty{})
-		cancel()
-		if err != nil {
-			missing = append(missing, entry.ID)
-			continue
-		}
-		boxes = append(boxes, entry.ID)
-		snapshots = append(snapshots, answer.Snapshots...)
-	}
-	return snapshots, boxes, missing
-}
-
+// burnLine is one line of the burn report.
 func burnLine(s burn.Status) *ospreymoorv1.BurnLine {
 	return &ospreymoorv1.BurnLine{
 		Model:        s.Model,
@@ -177,32 +168,35 @@
 }
 
 // operator finds the customer whose operator's token was sent.
-func (b *Box) operator(header http.Header) (string, error) {
-	token, ok := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
+func (s *operatorServer) operator(header http.Header) (string, error) {
+	token, ok := bearerToken(header)
 	if !ok {
-		return "", b.operatorRefused("send the header Authorization: Bearer TOKEN")
+		return "", s.refuseToken(remedyToken)
 	}
 	sum := sha256.Sum256([]byte(token))
 	found := ""
-	for customer, digest := range b.config.Operators {
+	for customer, digest := range s.tokens {
+		// A digest that is no hex matches no token; `ospreymoor serve` has checked it.
 		want, err := hex.DecodeString(digest)
 		if err == nil && subtle.ConstantTimeCompare(sum[:], want) == 1 {
 			found = customer
 		}
 	}
 	if found == "" {
-		return "", b.operatorRefused("no --operator setting names this token")
+		return "", s.refuseToken("no --operator setting names this token")
 	}
 	return found, nil
 }
 
-func (b *Box) operatorRefused(remedy string) error {
+// refuseToken counts a request without a known token and refuses it.
+func (s *operatorServer) refuseToken(remedy string) error {
 	refused := notRun(connect.CodeUnauthenticated, reasonToken, remedy, 0)
-	b.counters.refused("", refused)
+	s.counters.refused("", refused)
 	return refused.connectError()
 }
 
-func (b *Box) parse(customer, yaml string) (*bundle.Bundle, error) {
+// parse reads a bundle's text, which must be of the operator's customer.
+func (s *operatorServer) parse(customer, yaml string) (*bundle.Bundle, error) {
 	text, err := bundle.Parse("bundle", []byte(yaml))
 	if err != nil {
 		return nil, operatorError(err)
@@ -213,14 +207,14 @@
 	return text, nil
 }
 
-// fetchChange takes a change of this box's own in at once.
-func (b *Box) fetchChange(ctx context.Context) {
-	if _, err := b.readStore(ctx); err != nil {
-		b.set.GetOrCreateCounter("ospreymoor_fetch_failures_total").Inc()
+// fetchChange takes a change of this box's own in at once. If that fails, the change comes as it comes to all boxes.
+func (s *operatorServer) fetchChange(ctx context.Context) {
+	if _, err := s.follower.read(ctx); err != nil {
+		s.set.GetOrCreateCounter("ospreymoor_fetch_failures_total").Inc()
 	}
 }
 
-// operatorError sorts an error for operators: what to correct, what to try again, what to look up.
+// operatorError gives an error the code by which operators know whether to correct, try again or look up.
 func operatorError(err error) error {
 	code := connect.CodeInternal
 	switch {
--- a/internal/box/pages.go
+++ b/internal/box/pages.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// headerTime bounds the reading of a request's head.
+	// headerTime bounds the reading of a request's head. Chosen, not measured.
 	headerTime = 10 * time.Second
-	// compressFrom is the length from which a message is compressed: pieces of an answer are
-	// a few bytes each, and compressing them costs most of the box's time.
+	// compressFrom is the length from which a message is compressed, in bytes: pieces of an answer are a few bytes each.
+	// Measured: 64 pieces through a box take 1.90 ms without compression and 7.44 ms with it (commit a3673c5).
 	compressFrom = 4096
 )
 
 // handler serves callers, operators and the box's pages.
 func (b *Box) handler() http.Handler {
 	options := connect.WithHandlerOptions(
-		connect.WithReadMaxBytes(int(b.config.MaxBody)),
+		connect.WithReadMaxBytes(int(b.config.Requests.MaxBody)),
 		connect.WithCompressMinBytes(compressFrom),
 	)
 	mux := http.NewServeMux()
 	mux.Handle(ospreymoorv1connect.NewInferenceServiceHandler(b.models, options))
-	mux.Handle(ospreymoorv1connect.NewOperatorServiceHandler(operators{b}, options))
+	mux.Handle(ospreymoorv1connect.NewOperatorServiceHandler(b.operators, options))
 	mux.Handle("/services/{service}/{path...}", b.services)
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintln(w, "live") })
 	mux.HandleFunc("GET /readyz", b.readyz)
@@ -34,6 +34,7 @@
 	return mux
 }
 
+// readyz answers the balancer whether the box should get requests.
 func (b *Box) readyz(w http.ResponseWriter, _ *http.Request) {
 	if b.Ready() {
 		_, _ = fmt.Fprintln(w, "ready")
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -17,7 +17,7 @@
 	// notices a box's readiness half a second late.
 	cutOff := func(notice time.Duration) (lost []string) {
 		spec := fleetSpec{halls: 1, boxes: 3, engines: 2, memory: 64 * gib}
-		spec.config = func(c *Config) { c.DrainNotice = notice }
+		spec.config = func(c *Config) { c.Drain.Notice = notice }
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", "m1"))
 			t.awaitModels("m1")
--- a/internal/box/synthetic_test.go
+++ b/internal/box/synthetic_test.go
@@ -18,7 +18,12 @@
 // syntheticBox is a box that does not run but holds the records of a large fleet: so many
 // engines in seven halls, and three models to four engines with two adapters each.
 func syntheticBox(engines int) *Box {
-	box := New(Config{ID: "b", Hall: "h0", PeerAddress: "b:2", PlatformURL: "http://platform:1", Reads: 1, Writes: 1, ClaimWindow: time.Hour, Log: zap.NewNop()})
+	box := New(Config{
+		ID: "b", Hall: "h0", Log: zap.NewNop(),
+		Peers:    PeerConfig{Address: "b:2"},
+		Platform: PlatformConfig{URL: "http://platform:1", ReadsPerSecond: 1, WritesPerSecond: 1},
+		Requests: RequestConfig{ClaimWindow: time.Hour},
+	})
 	in := placement.Input{Settings: placement.Settings{Pending: 1 << 30}}
 	list := membership.List{Generation: 1}
 	for e := range engines {
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -19,7 +19,8 @@
 
 // ospreymoor serve --id BOX --hall HALL --platform URL --listen ADDR --peer-listen ADDR [flags]
 //
-// Runs an entry box until SIGTERM or SIGINT, then drains it.
+// Runs an entry box until SIGTERM or SIGINT, then drains it. The struct has a field for each flag; the page of settings
+// is checked against it, so it stays flat.
 type serveCommand struct {
 	ID           string            `name:"id" env:"OSPREYMOOR_ID" help:"Name of this box in the platform's box list; the host's name if left out."`
 	Hall         string            `name:"hall" env:"OSPREYMOOR_HALL" help:"Hall that this box stands in."`
@@ -157,32 +158,33 @@
 	return nil
 }
 
+// config groups the settings by the part of the box that they are for.
 func (c *serveCommand) config(log *zap.Logger) box.Config {
 	return box.Config{
-		ID:           c.ID,
-		Hall:         c.Hall,
-		Listen:       c.Listen,
-		PeerListen:   c.PeerListen,
-		PeerAddress:  c.PeerAddress,
-		PeerSecret:   c.PeerSecret,
-		Peers:        c.Peer,
-		PlatformURL:  c.Platform,
-		Operators:    c.Operator,
-		DrainNotice:  c.DrainNotice,
-		DrainLimit:   c.DrainLimit,
-		Reads:        c.KVReads,
-		Writes:       c.KVWrites,
-		ClaimWindow:  c.ClaimWindow,
-		LeaseTTL:     c.LeaseTTL,
-		OrderLife:    c.OrderLife,
-		BeatInterval: c.BeatInterval,
-		HallDistance: c.HallDistance,
-		Placement:    placement.Settings{MoveCost: c.MoveCost, Copies: c.Copies, SpareEngines: c.Spares},
-		MaxBody:      c.MaxBody,
-		Log:          log,
+		ID:        c.ID,
+		Hall:      c.Hall,
+		Listen:    c.Listen,
+		Operators: c.Operator,
+		Peers: box.PeerConfig{
+			Listen:            c.PeerListen,
+			Address:           c.PeerAddress,
+			Secret:            c.PeerSecret,
+			Known:             c.Peer,
+			HeartbeatInterval: c.BeatInterval,
+		},
+		Platform: box.PlatformConfig{URL: c.Platform, ReadsPerSecond: c.KVReads, WritesPerSecond: c.KVWrites},
+		Drain:    box.DrainConfig{Notice: c.DrainNotice, Limit: c.DrainLimit},
+		Requests: box.RequestConfig{MaxBody: c.MaxBody, ClaimWindow: c.ClaimWindow, HallDistance: c.HallDistance},
+		Control: box.ControlConfig{
+			LeaseTTL:  c.LeaseTTL,
+			OrderLife: c.OrderLife,
+			Placement: placement.Settings{MoveCost: c.MoveCost, Copies: c.Copies, SpareEngines: c.Spares},
+		},
+		Log: log,
 	}
 }
 
+// newLogger returns a logger of lines in JSON from a level on.
 func newLogger(level string) (*zap.Logger, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -216,23 +216,19 @@
 		operators[customer] = hex.EncodeToString(sum[:])
 	}
 	return box.Config{
-		ID:           id,
-		Hall:         hall,
-		PeerAddress:  peerAddress,
-		PlatformURL:  f.url,
-		Operators:    operators,
-		DrainNotice:  drainNotice,
-		DrainLimit:   10 * time.Second,
-		Reads:        100,
-		Writes:       20,
-		ClaimWindow:  time.Hour,
-		LeaseTTL:     6 * time.Second,
-		OrderLife:    30 * time.Second,
-		BeatInterval: time.Second,
-		HallDistance: 5 * time.Millisecond,
-		Placement:    placement.Settings{MoveCost: 0.2, SpareEngines: 1},
-		MaxBody:      4 << 20,
-		Log:          f.log,
+		ID:        id,
+		Hall:      hall,
+		Operators: operators,
+		Peers:     box.PeerConfig{Address: peerAddress, HeartbeatInterval: time.Second},
+		Platform:  box.PlatformConfig{URL: f.url, ReadsPerSecond: 100, WritesPerSecond: 20},
+		Drain:     box.DrainConfig{Notice: drainNotice, Limit: 10 * time.Second},
+		Requests:  box.RequestConfig{MaxBody: 4 << 20, ClaimWindow: time.Hour, HallDistance: 5 * time.Millisecond},
+		Control: box.ControlConfig{
+			LeaseTTL:  6 * time.Second,
+			OrderLife: 30 * time.Second,
+			Placement: placement.Settings{MoveCost: 0.2, SpareEngines: 1},
+		},
+		Log: f.log,
 	}
 }
 
