--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -43,8 +43,16 @@
 	b.links = newLinks(config, b.self, b.log, b.set)
 	b.knowledge = newKnowledge(config, b.self, b.links, b.log, b.set)
 	b.requests = newRequests(config, b.self, b.links, b.knowledge, b.set)
+	b.newControl()
+	b.handlePeers()
+	b.gauges()
+	return b
+}
+
+// newControl makes the parts that control the hall and the fleet.
+func (b *Box) newControl() {
 	b.control = newControl(controlParts{
-		config:   config.Control,
+		config:   b.config.Control,
 		self:     b.self,
 		members:  b.members,
 		engines:  b.engines,
@@ -67,9 +75,6 @@
 		peers:     b.peers,
 		set:       b.set,
 	}
-	b.handlePeers()
-	b.gauges()
-	return b
 }
 
 // handlePeers connects the calls of other boxes to the parts that answer them.
@@ -100,7 +105,7 @@
 	return New(config).Serve(ctx, listener, peerListener)
 }
 
-// Serve serves on listeners that the caller made until ctx ends, then drains. It returns an error only if callers can't
+// Serve serves on listeners that the caller made until ctx ends, then drains. It returns an error only if callers cannot
 // be served.
 func (b *Box) Serve(ctx context.Context, listener, peerListener net.Listener) error {
 	go b.server.Serve(peerListener)
@@ -156,9 +161,6 @@
 	return len(table.bundles) == 0 || b.fleet.snapshot.Load().informed || time.Since(b.self.started) > informGrace
 }
 
-// Metrics is the box's set of metrics.
-func (b *Box) Metrics() *metrics.Set { return b.set }
-
 // gauges registers the values that are read when the metrics page is.
 func (b *Box) gauges() {
 	b.set.NewGauge("ospreymoor_in_flight", func() float64 { return float64(b.admission.InFlight()) })
--- a/internal/box/bundles_in_force.go
+++ b/internal/box/bundles_in_force.go
@@ -44,11 +44,8 @@
 	callers map[[sha256.Size]byte]caller
 }
 
-// caller is who sent a request.
-type caller struct {
-	name   string
-	bundle *bundle.Bundle
-}
+// caller is who sent a request: one of the callers that the bundle names.
+type caller struct{ bundle *bundle.Bundle }
 
 // adopt puts the newest table in force as soon as all of its texts are here.
 func (s *bundlesInForce) adopt(ctx context.Context) error {
@@ -88,9 +85,9 @@
 		next.bundles[customer] = text
 		for _, c := range text.Callers {
 			var sum [sha256.Size]byte
-			// Parsing a bundle has checked the digest, so an error can't be.
+			// Parsing a bundle has checked the digest, so an error cannot be.
 			if _, err := hex.Decode(sum[:], []byte(strings.ToLower(c.TokenSHA256))); err == nil {
-				next.callers[sum] = caller{name: c.Name, bundle: text}
+				next.callers[sum] = caller{bundle: text}
 			}
 		}
 	}
--- a/internal/box/bundles_in_force_test.go
+++ b/internal/box/bundles_in_force_test.go
@@ -82,7 +82,7 @@
 	return back
 }
 
-// settled tells whether every box serves the generation that the store holds.
+// settled returns an error unless every box serves the generation that the store holds.
 func settled(t *testFleet) error {
 	record, err := t.platform.Memory.Store().Get(context.Background(), "fleet/inforce")
 	if err != nil {
@@ -106,7 +106,7 @@
 				for version := 2; version <= 16; version++ {
 					text := bundleText(version, "a", "1GiB", "writer")
 					t.until(30*time.Second, func() error {
-						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, &ospreymoorv1.SignOffBundleRequest{Yaml: text}))
+						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
 						return err
 					})
 				}
--- a/internal/box/claimed_runs.go
+++ b/internal/box/claimed_runs.go
@@ -50,7 +50,7 @@
 	return claim, nil
 }
 
-// lookUp finds the claim of an earlier attempt. It refuses if claims can't be read, or if the key belongs to another
+// lookUp finds the claim of an earlier attempt. It refuses if claims cannot be read, or if the key belongs to another
 // request.
 func (c *claimedRuns) lookUp(ctx context.Context, r onceRequest) (claim claims.Claim, found bool, refused *refusal) {
 	claim, found, err := c.claims.Lookup(ctx, r.customer, r.key)
@@ -73,7 +73,7 @@
 }
 
 // outcomeOfClaim asks the box that claimed a run for its outcome, and waits for the end of the run for up to wait.
-// If that box can't be reached, the outcome is unknown.
+// If that box cannot be reached, the outcome is unknown.
 func (c *claimedRuns) outcomeOfClaim(ctx context.Context, claim claims.Claim, wait time.Duration) peer.OutcomeResponse {
 	if claim.Box == c.self.address {
 		return c.outcomes.wait(ctx, claim.RequestID, wait)
--- a/internal/box/config.go
+++ b/internal/box/config.go
@@ -38,7 +38,7 @@
 	Address string
 	// Secret is the fleet's.
 	Secret string
-	// Known are addresses to call when the platform can't be reached at the start.
+	// Known are addresses to call when the platform cannot be reached at the start.
 	Known []string
 	// HeartbeatInterval is the time between two heartbeats in a small fleet.
 	HeartbeatInterval time.Duration
--- a/internal/box/delivery.go
+++ b/internal/box/delivery.go
@@ -14,7 +14,7 @@
 	// id of the run that the pieces come from, and the index of the next one.
 	id   string
 	next uint32
-	// sendErr is set when the caller can't be reached any more.
+	// sendErr is set when the caller cannot be reached any more.
 	sendErr error
 
 	begun time.Time
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -64,7 +64,7 @@
 	stopped chan struct{}
 }
 
-// fleetSpec says how a fleet begins.
+// fleetSpec is how a fleet begins.
 type fleetSpec struct {
 	halls, boxes, engines int
 	memory                int64
@@ -339,7 +339,7 @@
 	return id.String()
 }
 
-// outcomeOf is what an error says of a request.
+// outcomeOf is the outcome that an error names.
 func outcomeOf(err error) ospreymoorv1.Outcome {
 	answer, ok := err.(*connect.Error)
 	if !ok {
--- a/internal/box/leaving_test.go
+++ b/internal/box/leaving_test.go
@@ -54,7 +54,7 @@
 	})
 })
 
-// forgetLeaving makes a box believe that an engine stays.
+// forgetLeaving drops from a box that an engine is leaving.
 func (b *testBox) forgetLeaving(id string) {
 	old := b.fleet.snapshot.Load()
 	next := *old
--- a/internal/box/members.go
+++ b/internal/box/members.go
@@ -6,7 +6,7 @@
 // Chosen, not measured: one is watched for by the other (docs/design/records.md).
 const watchersPerHall = 2
 
-// members is the fleet's entry boxes as this one sees them. Boxes that can't reach the key-value service take no
+// members is the fleet's entry boxes as this one sees them. Boxes that cannot reach the key-value service take no
 // part in what needs it.
 type members struct {
 	self *self
--- a/internal/box/memnet_test.go
+++ b/internal/box/memnet_test.go
@@ -171,7 +171,7 @@
 func (a memAddr) String() string { return string(a) }
 
 // memConn is dead for good once something was sent over it while its hosts were cut off
-// from each other: what is sent then is lost without a word.
+// from each other: what is sent then is lost without an error.
 type memConn struct {
 	net.Conn
 	net      *memnet
--- a/internal/box/memory_test.go
+++ b/internal/box/memory_test.go
@@ -129,7 +129,7 @@
 			time.Sleep(5 * time.Second)
 			client := t.boxes["h1-b1"].operator(t)
 			text := bundleText(2, "a", "20GiB", "m1", "m2", "m3", "m4", "m5", "m6", "m7")
-			_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, &ospreymoorv1.SignOffBundleRequest{Yaml: text}))
+			_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
 			Expect(err).NotTo(HaveOccurred())
 			_, err = client.RollBundle(context.Background(), authorized(operatorToken, &ospreymoorv1.RollBundleRequest{Version: 2}))
 			Expect(connect.CodeOf(err)).To(Equal(connect.CodeFailedPrecondition))
--- a/internal/box/model_once.go
+++ b/internal/box/model_once.go
@@ -19,7 +19,7 @@
 )
 
 // modelOnce is a request on a model that may run at most once. An engine can resume an answer and confirm that a run
-// never began, which plain services can't (service_once.go).
+// never began, which plain services cannot (service_once.go).
 type modelOnce struct {
 	*modelServer
 	request *modelRequest
--- a/internal/box/model_repeatable.go
+++ b/internal/box/model_repeatable.go
@@ -9,7 +9,7 @@
 // serveRepeatable runs a request that may run several times: on one engine after another, until one gives a whole
 // answer. It differs from serviceProxy.serveRepeatable in three ways. Admission needs the wait at the engine chosen.
 // An engine confirms whether it started a request, so an attempt that did not start takes nothing from the retry
-// budget. An engine's broken answer is resumed first, and a streamed answer that the caller has seen in part can't
+// budget. An engine's broken answer is resumed first, and a streamed answer that the caller has seen in part cannot
 // be begun anew.
 func (s *modelServer) serveRepeatable(ctx context.Context, r *modelRequest, d *delivery) *refusal {
 	s.retries.Request()
--- a/internal/box/record_reader.go
+++ b/internal/box/record_reader.go
@@ -10,7 +10,7 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// recordReader decodes records of the cache. A record that can't be decoded is logged once for its name, until one
+// recordReader decodes records of the cache. A record that cannot be decoded is logged once for its name, until one
 // of that name can be decoded again.
 type recordReader struct {
 	cache *records.Cache
@@ -24,7 +24,7 @@
 	return &recordReader{cache: cache, log: log, unreadable: map[string]struct{}{}}
 }
 
-// readRecord decodes the record of a name. It returns the zero value if there is none, or if it can't be decoded:
+// readRecord decodes the record of a name. It returns the zero value if there is none, or if it cannot be decoded:
 // the next generation replaces it.
 func readRecord[T any](r *recordReader, name string) T {
 	var value T
@@ -49,7 +49,7 @@
 		return
 	}
 	r.unreadable[record.Name] = struct{}{}
-	r.log.Warn("record can't be read: all boxes need the same version", zap.String("record", record.Name), logfield.Error(err))
+	r.log.Warn("record cannot be read: all boxes need the same version", zap.String("record", record.Name), logfield.Error(err))
 }
 
 // decoded is a record's value at a generation.
--- a/internal/box/refusal.go
+++ b/internal/box/refusal.go
@@ -21,7 +21,7 @@
 	// reason labels the metrics; remedy is for the caller.
 	reason string
 	remedy string
-	// retryAfter is when to come back; 0 if that can't help.
+	// retryAfter is when to come back; 0 if that cannot help.
 	retryAfter time.Duration
 }
 
--- a/internal/box/refusal_rules.go
+++ b/internal/box/refusal_rules.go
@@ -75,7 +75,7 @@
 // refused before its key was looked up: an earlier attempt may have run.
 func (r *refusal) unlessRetry(mayBeRetry bool) *refusal {
 	if !mayBeRetry || r.outcome != ospreymoorv1.Outcome_OUTCOME_NOT_RUN || r.reason == reasonKey {
-		return r // A key that can't be used was never used before either.
+		return r // A key that cannot be used was never used before either.
 	}
 	changed := *r
 	changed.outcome = ospreymoorv1.Outcome_OUTCOME_UNKNOWN
@@ -109,7 +109,7 @@
 	return notRun(connect.CodeUnavailable, reasonUpstream, "no engine took the request", comeBack)
 }
 
-// notClaimed is the refusal of a request whose key can't be claimed or looked up. If claims can't be read, only the
+// notClaimed is the refusal of a request whose key cannot be claimed or looked up. If claims cannot be read, only the
 // caller's promise of a first attempt makes 'not run' true.
 func notClaimed(r onceRequest, err error) *refusal {
 	for _, kind := range []error{claims.ErrBadKey, claims.ErrTooNew, claims.ErrFull} {
--- a/internal/box/requests_test.go
+++ b/internal/box/requests_test.go
@@ -31,7 +31,7 @@
 	failed     bool
 	// startsThen is how often the prompt had been started when the answer came.
 	startsThen int
-	// alone tells that no other attempt of the request was under way.
+	// alone is set if no other attempt of the request was under way.
 	alone bool
 	// begun and ended are when the attempt was sent and answered, and why it failed.
 	begun, ended time.Time
@@ -39,7 +39,7 @@
 	box          string
 }
 
-// String tells an attempt's story.
+// String describes an attempt in one line.
 func (a attempt) String() string {
 	return fmt.Sprintf("%s..%s at %s, alone %v, started %d times then: %s", a.begun.Format("05.000"), a.ended.Format("05.000"), a.box, a.alone, a.startsThen, a.why)
 }
--- a/internal/box/resume_test.go
+++ b/internal/box/resume_test.go
@@ -92,7 +92,7 @@
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 			t.awaitModels("writer")
 			boxes := newBoxPicker(t, seed)
-			var told histories[string]
+			var violated histories[string]
 			var answered atomic.Int64
 			ctx, cancel := context.WithCancel(context.Background())
 			var callers, faults sync.WaitGroup
@@ -109,7 +109,7 @@
 								break
 							}
 							if strings.Contains(answer, `"outcome":"not run"`) && t.runsOf(body) > 0 {
-								told.add(body + ": told not run, but had run: " + answer)
+								violated.add(body + ": told not run, but had run: " + answer)
 							}
 							time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 						}
@@ -137,11 +137,11 @@
 			for caller := range 5 {
 				for n := range 8 {
 					if body := fmt.Sprintf("report %d-%d", caller, n); t.runsOf(body) > 1 {
-						told.add(fmt.Sprintf("%s: ran %d times", body, t.runsOf(body)))
+						violated.add(fmt.Sprintf("%s: ran %d times", body, t.runsOf(body)))
 					}
 				}
 			}
-			found, done = told.all(), int(answered.Load())
+			found, done = violated.all(), int(answered.Load())
 		})
 		return found, done
 	}
--- a/internal/box/run_once.go
+++ b/internal/box/run_once.go
@@ -76,7 +76,7 @@
 	return r.send(ctx, own)
 }
 
-// joinOrRefuse answers a request that can't be admitted. An earlier attempt may have run, so the claim under the key
+// joinOrRefuse answers a request that cannot be admitted. An earlier attempt may have run, so the claim under the key
 // is looked up first: a run there is joined, and only without one is the request refused.
 func (r *onceRun) joinOrRefuse(ctx context.Context, refused *refusal) *refusal {
 	claim, found, unread := r.claimed.lookUp(ctx, r.request)
--- a/internal/box/service_once.go
+++ b/internal/box/service_once.go
@@ -18,7 +18,7 @@
 // it too. Chosen, not measured (docs/design/claims.md).
 const maxAnswerBytes = 1 << 20
 
-// serviceOnce is a call that may run at most once. A plain service can't confirm that a call never ran, so its answer
+// serviceOnce is a call that may run at most once. A plain service cannot confirm that a call never ran, so its answer
 // is read whole and kept; without it, the outcome is unknown (model_once.go: engines can).
 type serviceOnce struct {
 	*serviceProxy
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -114,7 +114,7 @@
 	_ = conn.Reply(ctx, request.ID, Empty{})
 }
 
-// answer runs the handler of one request and replies. A reply that can't be sent is dropped: its connection is
+// answer runs the handler of one request and replies. A reply that cannot be sent is dropped: its connection is
 // broken, and the caller's end reports that to the caller.
 func (s *session) answer(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	handle, ok := s.server.handlers[request.Method]
