--- /dev/null
+++ b/internal/box/callers_test.go
@@ -0,0 +1,140 @@
+package box
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
+	"ospreymoor.example/ospreymoor/internal/standin"
+)
+
+// attempt is one answer to a caller.
+type attempt struct {
+	prompt     string
+	repeatable bool
+	text       string
+	outcome    ospreymoorv1.Outcome
+	failed     bool
+	// startsThen is how often the prompt had been started when the answer came.
+	startsThen int
+	// alone is set if no other attempt of the request was under way.
+	alone bool
+	// begun and ended are when the attempt was sent and answered, and why it failed.
+	begun, ended time.Time
+	why          string
+	box          string
+}
+
+// String describes an attempt in one line.
+func (a attempt) String() string {
+	return fmt.Sprintf("%s..%s at %s, alone %v, started %d times then: %s", a.begun.Format("05.000"), a.ended.Format("05.000"), a.box, a.alone, a.startsThen, a.why)
+}
+
+// violations checks a history against what the engines noted in the end.
+func violations(t *testFleet, history []attempt) []string {
+	var found []string
+	allNotRun := map[string]bool{}
+	for _, a := range history {
+		notRun := a.outcome == ospreymoorv1.Outcome_OUTCOME_NOT_RUN
+		if old, seen := allNotRun[a.prompt]; !seen || old {
+			allNotRun[a.prompt] = notRun
+		}
+		starts := t.startsOf(a.prompt)
+		switch {
+		case !a.failed && a.text != wholeAnswer(a.prompt):
+			found = append(found, fmt.Sprintf("%s: answer %q is not whole or not its own", a.prompt, a.text))
+		case !a.repeatable && starts > 1:
+			found = append(found, fmt.Sprintf("%s: may not be repeated, started %d times", a.prompt, starts))
+		case notRun && a.alone && a.startsThen > 0:
+			found = append(found, fmt.Sprintf("%s: told not run, had been started", a.prompt))
+		}
+	}
+	for _, a := range history {
+		if slices.ContainsFunc(found, func(f string) bool { return strings.HasPrefix(f, a.prompt+":") }) {
+			found = append(found, a.prompt+" story: "+a.String())
+		}
+	}
+	for prompt, notRun := range allNotRun {
+		if notRun && t.startsOf(prompt) > 0 {
+			found = append(found, fmt.Sprintf("%s: told not run only, was started", prompt))
+		}
+	}
+	return found
+}
+
+const answerPieces = 12
+
+func wholeAnswer(prompt string) string {
+	return strings.Join(standin.Answer("acme/writer@a", "", prompt, answerPieces), "")
+}
+
+// callUntilAnswered sends one request until it has an answer, as a careful caller does.
+func callUntilAnswered(t *testFleet, boxes *boxPicker, random *rand.Rand, prompt string, history *histories[attempt]) {
+	request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: prompt, MaxTokens: answerPieces}
+	once := random.IntN(3) > 0
+	if once {
+		request.NotRepeatable, request.RequestKey = true, newKey()
+	}
+	for try := range 8 {
+		request.FirstAttempt = try == 0
+		if once && random.IntN(4) == 0 {
+			callTwice(t, boxes, request, history)
+			request.FirstAttempt = false
+		}
+		if tryCall(t, boxes, request, true, history) {
+			return
+		}
+		if !once {
+			request.Prompt = fmt.Sprintf("%s.%d", prompt, try+1) // Each attempt stands for itself.
+		}
+		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
+	}
+}
+
+// callTwice sends the same request to two boxes at once.
+func callTwice(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, history *histories[attempt]) {
+	request.FirstAttempt = false
+	var both sync.WaitGroup
+	for range 2 {
+		both.Go(func() { tryCall(t, boxes, request, false, history) })
+	}
+	both.Wait()
+}
+
+func tryCall(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, alone bool, history *histories[attempt]) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+	defer cancel()
+	id, b := boxes.pick()
+	begun := time.Now()
+	text, err := t.complete(ctx, b, request)
+	history.add(attempt{
+		begun: begun, ended: time.Now(), why: fmt.Sprint(err), box: id,
+		prompt: request.GetPrompt(), repeatable: !request.GetNotRepeatable(), text: text,
+		failed: err != nil, outcome: outcomeOf(err), startsThen: t.startsOf(request.GetPrompt()), alone: alone,
+	})
+	return err == nil
+}
+
+// probe asks for each model at a box again and again until ctx ends; it returns the refusals.
+func probe(ctx context.Context, t *testFleet, b *testBox, models []string) (refused []string) {
+	var history histories[string]
+	var probes sync.WaitGroup
+	begun := time.Now()
+	for _, model := range models {
+		probes.Go(func() {
+			for n := 0; pause(ctx, 100*time.Millisecond); n++ {
+				request := &ospreymoorv1.GenerateRequest{Model: model, Prompt: fmt.Sprintf("%s %d", model, n), MaxTokens: 2}
+				if _, err := t.complete(context.Background(), b, request); err != nil {
+					history.add(fmt.Sprintf("%s at %s: %s", model, time.Since(begun), err))
+				}
+			}
+		})
+	}
+	probes.Wait()
+	return history.all()
+}
--- a/internal/box/memory_test.go
+++ b/internal/box/memory_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"sync"
 	"time"
 
 	"connectrpc.com/connect"
@@ -17,44 +15,6 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// orderFaults loses, delays and reorders orders on their way to an engine.
-type orderFaults struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	// latest bounds how late an order takes effect.
-	latest time.Duration
-}
-
-func (f *orderFaults) onOrder(context.Context, string) error {
-	f.mu.Lock()
-	dice, late := f.random.IntN(6), time.Duration(f.random.Int64N(int64(f.latest)))
-	f.mu.Unlock()
-	switch dice {
-	case 0:
-		return connect.NewError(connect.CodeInternal, errors.New("order lost"))
-	case 1, 2, 3:
-		time.Sleep(late)
-	}
-	return nil
-}
-
-// lossyPlatform loses answers of the key-value service after they took effect.
-func lossyPlatform(seed uint64) func(string) standin.Fault {
-	var mu sync.Mutex
-	random := rand.New(rand.NewPCG(seed, 2))
-	return func(string) standin.Fault {
-		mu.Lock()
-		defer mu.Unlock()
-		switch random.IntN(20) {
-		case 0:
-			return standin.FaultDown
-		case 1, 2:
-			return standin.FaultLostAnswer
-		}
-		return standin.FaultNone
-	}
-}
-
 // memorySpec is a fleet that is tight for the bundles below, with faulty orders. Without the
 // guard, engines that do not check who orders are treated as if they did.
 func memorySpec(seed uint64, fenced, guard bool) fleetSpec {
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -16,25 +16,6 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// probe asks for each model at a box again and again until ctx ends; it returns the refusals.
-func probe(ctx context.Context, t *testFleet, b *testBox, models []string) (refused []string) {
-	var history histories[string]
-	var probes sync.WaitGroup
-	begun := time.Now()
-	for _, model := range models {
-		probes.Go(func() {
-			for n := 0; pause(ctx, 100*time.Millisecond); n++ {
-				request := &ospreymoorv1.GenerateRequest{Model: model, Prompt: fmt.Sprintf("%s %d", model, n), MaxTokens: 2}
-				if _, err := t.complete(context.Background(), b, request); err != nil {
-					history.add(fmt.Sprintf("%s at %s: %s", model, time.Since(begun), err))
-				}
-			}
-		})
-	}
-	probes.Wait()
-	return history.all()
-}
-
 var _ = Describe("Every model of a bundle in force", func() {
 	models := []string{"m1", "m2", "m3", "m4"}
 
--- a/internal/box/soak_test.go
+++ b/internal/box/soak_test.go
@@ -179,34 +179,6 @@
 	_ = rollOnce(t, b, uint64(version))
 }
 
-// drain stops a box as planned and starts another in its place.
-func (p *boxPicker) drain(spec fleetSpec) {
-	id, b := p.pick()
-	b.stop()
-	<-b.stopped
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.fleet.boxes[id] == b {
-		p.fleet.dead = append(p.fleet.dead, b)
-		p.fleet.startBox(spec, b.config.Hall, id)
-	}
-}
-
-func (p *boxPicker) boxHosts() (hosts []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, b := range p.fleet.boxes {
-		hosts = append(hosts, b.host)
-	}
-	return hosts
-}
-
-func (p *boxPicker) hosts(hall string) (inside, outside []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.fleet.hosts(hall)
-}
-
 var _ = Describe("Everything at once (soak)", func() {
 	It("keeps what must always hold", func() {
 		begun := time.Now()
