--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -17,6 +17,10 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
+// minLeaseTTL is the shortest lease that may be set: a lease is renewed three times in its time, and the store counts
+// whole seconds. Chosen, not measured.
+const minLeaseTTL = 3 * time.Second
+
 // ospreymoor serve --id BOX --hall HALL --platform URL --listen ADDR --peer-listen ADDR [flags]
 //
 // Runs an entry box until SIGTERM or SIGINT, then drains it. The struct has a field for each flag; the page of settings
@@ -63,7 +67,7 @@
 	return box.Run(ctx, c.config(log))
 }
 
-// fill derives the settings that were left out.
+// fill derives the settings that were left out: the host's name, and --peer-listen as --peer-address.
 func (c *serveCommand) fill() error {
 	if c.ID == "" {
 		name, err := os.Hostname()
@@ -98,6 +102,7 @@
 	return c.checkNumbers()
 }
 
+// checkAddresses checks the listeners, how peers reach this box, and that peers need a secret beyond loopback.
 func (c *serveCommand) checkAddresses() error {
 	addresses := map[string]string{"listen": c.Listen, "peer-listen": c.PeerListen, "peer-address": c.PeerAddress}
 	for _, flag := range []string{"listen", "peer-listen", "peer-address"} {
@@ -119,6 +124,7 @@
 	return nil
 }
 
+// checkOperators checks the digests of the operators' tokens.
 func (c *serveCommand) checkOperators() error {
 	for customer, digest := range c.Operator {
 		if sum, err := hex.DecodeString(digest); err != nil || len(sum) != sha256.Size {
@@ -128,6 +134,7 @@
 	return nil
 }
 
+// checkNumbers checks times, rates and sizes.
 func (c *serveCommand) checkNumbers() error {
 	durations := map[string]time.Duration{
 		"claim-window": c.ClaimWindow, "lease-ttl": c.LeaseTTL, "order-life": c.OrderLife, "beat-interval": c.BeatInterval,
@@ -137,7 +144,7 @@
 			return wrong(flag, durations[flag], "give a time above 0, such as 6s")
 		}
 	}
-	if c.LeaseTTL < 3*time.Second {
+	if c.LeaseTTL < minLeaseTTL {
 		return wrong("lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
 	}
 	if c.DrainNotice < 0 || c.DrainLimit < 0 {
