--- a/internal/box/sent_table.go
+++ b/internal/box/sent_table.go
@@ -17,7 +17,7 @@
 }
 
 // take takes a peer's totals in; unchanged ones may be left out. The first totals of an incarnation are only its
-// base: what it sent before is in the engines' reports.
+// base: what it sent before is taken to be in the engines' reports.
 func (t *sentTable) take(incarnation string, sent map[string]int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
