--- a/internal/box/in_force_test.go
+++ b/internal/box/bundles_in_force_test.go
@@ -68,7 +68,7 @@
 	for pause(ctx, 50*time.Millisecond) {
 		boxes.mu.Lock()
 		for id, b := range t.boxes {
-			f := b.inForce.Load()
+			f := b.inForce.current.Load()
 			if f == nil {
 				continue
 			}
@@ -82,14 +82,14 @@
 	return back
 }
 
-// settled tells whether every box serves the generation that the store holds.
+// settled returns an error unless every box serves the generation that the store holds.
 func settled(t *testFleet) error {
 	record, err := t.platform.Memory.Store().Get(context.Background(), "fleet/inforce")
 	if err != nil {
 		return err
 	}
 	for id, b := range t.boxes {
-		if f := b.inForce.Load(); f == nil || f.generation != record.Revision {
+		if f := b.inForce.current.Load(); f == nil || f.generation != record.Revision {
 			return fmt.Errorf("box %s does not serve generation %d", id, record.Revision)
 		}
 	}
@@ -106,7 +106,7 @@
 				for version := 2; version <= 16; version++ {
 					text := bundleText(version, "a", "1GiB", "writer")
 					t.until(30*time.Second, func() error {
-						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, &ospreymoorv1.SignOffBundleRequest{Yaml: text}))
+						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
 						return err
 					})
 				}
@@ -144,10 +144,10 @@
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 			t.awaitModels("writer")
-			peer := t.boxes["h1-b2"].config.PeerAddress
+			peer := t.boxes["h1-b2"].config.Peers.Address
 			t.platform.SetMode(standin.FaultDown)
 			t.kill("h1-b1")
-			spec.config = func(c *Config) { c.Peers = []string{peer} }
+			spec.config = func(c *Config) { c.Peers.Known = []string{peer} }
 			fresh := t.startBox(spec, "h1", "h1-b1")
 			Expect(fresh.Ready()).To(BeFalse())
 			t.until(10*time.Second, func() error {
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -16,25 +16,6 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// probe asks for each model at a box again and again until ctx ends; it returns the refusals.
-func probe(ctx context.Context, t *testFleet, b *testBox, models []string) (refused []string) {
-	var history histories[string]
-	var probes sync.WaitGroup
-	begun := time.Now()
-	for _, model := range models {
-		probes.Go(func() {
-			for n := 0; pause(ctx, 100*time.Millisecond); n++ {
-				request := &ospreymoorv1.GenerateRequest{Model: model, Prompt: fmt.Sprintf("%s %d", model, n), MaxTokens: 2}
-				if _, err := t.complete(context.Background(), b, request); err != nil {
-					history.add(fmt.Sprintf("%s at %s: %s", model, time.Since(begun), err))
-				}
-			}
-		})
-	}
-	probes.Wait()
-	return history.all()
-}
-
 var _ = Describe("Every model of a bundle in force", func() {
 	models := []string{"m1", "m2", "m3", "m4"}
 
@@ -54,7 +35,7 @@
 			cancel()
 			probing.Wait()
 			Expect(refused).To(BeEmpty())
-			plan := t.boxes["h2-b1"].fleet.Load().plan
+			plan := t.boxes["h2-b1"].fleet.snapshot.Load().plan
 			Expect(plan.Serving).To(HaveKeyWithValue("acme/m1", "acme/m1@w4"), "the roll got through")
 		})
 	})
@@ -76,7 +57,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 			defer cancel()
 			Expect(probe(ctx, t, t.boxes["h2-b1"], models)).To(BeEmpty())
-			for _, copies := range t.boxes["h2-b1"].fleet.Load().plan.Units {
+			for _, copies := range t.boxes["h2-b1"].fleet.snapshot.Load().plan.Units {
 				alive := slices.DeleteFunc(slices.Clone(copies.Places), func(p placement.Place) bool { return p.Engine == "h1-e1" })
 				Expect(len(alive)).To(BeNumerically(">=", 2), "the lost copy of %s was made anew", copies.Model)
 			}
--- a/internal/box/synthetic_test.go
+++ b/internal/box/synthetic_box_test.go
@@ -18,7 +18,12 @@
 // syntheticBox is a box that does not run but holds the records of a large fleet: so many
 // engines in seven halls, and three models to four engines with two adapters each.
 func syntheticBox(engines int) *Box {
-	box := New(Config{ID: "b", Hall: "h0", PeerAddress: "b:2", PlatformURL: "http://platform:1", Reads: 1, Writes: 1, ClaimWindow: time.Hour, Log: zap.NewNop()})
+	box := New(Config{
+		ID: "b", Hall: "h0", Log: zap.NewNop(),
+		Peers:    PeerConfig{Address: "b:2"},
+		Platform: PlatformConfig{URL: "http://platform:1", ReadsPerSecond: 1, WritesPerSecond: 1},
+		Requests: RequestConfig{ClaimWindow: time.Hour},
+	})
 	in := placement.Input{Settings: placement.Settings{Pending: 1 << 30}}
 	list := membership.List{Generation: 1}
 	for e := range engines {
@@ -35,8 +40,8 @@
 		in.Wanted = append(in.Wanted, unit)
 	}
 	plan := placement.Next(in)
-	putValue(box, boxesRecord, list)
-	putValue(box, planKey, kv.Document[placement.Plan]{Body: plan})
+	putValue(box, boxListRecord, list)
+	putValue(box, planRecord, kv.Document[placement.Plan]{Body: plan})
 	holdings := map[string]orders.Holdings{}
 	for _, e := range in.Engines {
 		if holdings[e.Hall].Engines == nil {
@@ -68,7 +73,7 @@
 }
 
 func planBytes(box *Box) int {
-	record, _ := box.cache.Get(planKey)
+	record, _ := box.cache.Get(planRecord)
 	return len(record.Value)
 }
 
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -17,9 +17,14 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
+// minLeaseTTL is the shortest lease that may be set: a lease is renewed three times in its time, and the store counts
+// whole seconds. Chosen, not measured.
+const minLeaseTTL = 3 * time.Second
+
 // ospreymoor serve --id BOX --hall HALL --platform URL --listen ADDR --peer-listen ADDR [flags]
 //
-// Runs an entry box until SIGTERM or SIGINT, then drains it.
+// Runs an entry box until SIGTERM or SIGINT, then drains it. The struct has a field for each flag; the page of settings
+// is checked against it, so it stays flat.
 type serveCommand struct {
 	ID           string            `name:"id" env:"OSPREYMOOR_ID" help:"Name of this box in the platform's box list; the host's name if left out."`
 	Hall         string            `name:"hall" env:"OSPREYMOOR_HALL" help:"Hall that this box stands in."`
@@ -62,7 +67,7 @@
 	return box.Run(ctx, c.config(log))
 }
 
-// fill derives the settings that were left out.
+// fill derives the settings that were left out: the host's name, and --peer-listen as --peer-address.
 func (c *serveCommand) fill() error {
 	if c.ID == "" {
 		name, err := os.Hostname()
@@ -97,6 +102,7 @@
 	return c.checkNumbers()
 }
 
+// checkAddresses checks the listeners, how peers reach this box, and that peers need a secret beyond loopback.
 func (c *serveCommand) checkAddresses() error {
 	addresses := map[string]string{"listen": c.Listen, "peer-listen": c.PeerListen, "peer-address": c.PeerAddress}
 	for _, flag := range []string{"listen", "peer-listen", "peer-address"} {
@@ -118,6 +124,7 @@
 	return nil
 }
 
+// checkOperators checks the digests of the operators' tokens.
 func (c *serveCommand) checkOperators() error {
 	for customer, digest := range c.Operator {
 		if sum, err := hex.DecodeString(digest); err != nil || len(sum) != sha256.Size {
@@ -127,6 +134,7 @@
 	return nil
 }
 
+// checkNumbers checks times, rates and sizes.
 func (c *serveCommand) checkNumbers() error {
 	durations := map[string]time.Duration{
 		"claim-window": c.ClaimWindow, "lease-ttl": c.LeaseTTL, "order-life": c.OrderLife, "beat-interval": c.BeatInterval,
@@ -136,7 +144,7 @@
 			return wrong(flag, durations[flag], "give a time above 0, such as 6s")
 		}
 	}
-	if c.LeaseTTL < 3*time.Second {
+	if c.LeaseTTL < minLeaseTTL {
 		return wrong("lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
 	}
 	if c.DrainNotice < 0 || c.DrainLimit < 0 {
@@ -157,32 +165,33 @@
 	return nil
 }
 
+// config groups the settings by the part of the box that they are for.
 func (c *serveCommand) config(log *zap.Logger) box.Config {
 	return box.Config{
-		ID:           c.ID,
-		Hall:         c.Hall,
-		Listen:       c.Listen,
-		PeerListen:   c.PeerListen,
-		PeerAddress:  c.PeerAddress,
-		PeerSecret:   c.PeerSecret,
-		Peers:        c.Peer,
-		PlatformURL:  c.Platform,
-		Operators:    c.Operator,
-		DrainNotice:  c.DrainNotice,
-		DrainLimit:   c.DrainLimit,
-		Reads:        c.KVReads,
-		Writes:       c.KVWrites,
-		ClaimWindow:  c.ClaimWindow,
-		LeaseTTL:     c.LeaseTTL,
-		OrderLife:    c.OrderLife,
-		BeatInterval: c.BeatInterval,
-		HallDistance: c.HallDistance,
-		Placement:    placement.Settings{MoveCost: c.MoveCost, Copies: c.Copies, SpareEngines: c.Spares},
-		MaxBody:      c.MaxBody,
-		Log:          log,
+		ID:        c.ID,
+		Hall:      c.Hall,
+		Listen:    c.Listen,
+		Operators: c.Operator,
+		Peers: box.PeerConfig{
+			Listen:            c.PeerListen,
+			Address:           c.PeerAddress,
+			Secret:            c.PeerSecret,
+			Known:             c.Peer,
+			HeartbeatInterval: c.BeatInterval,
+		},
+		Platform: box.PlatformConfig{URL: c.Platform, ReadsPerSecond: c.KVReads, WritesPerSecond: c.KVWrites},
+		Drain:    box.DrainConfig{Notice: c.DrainNotice, Limit: c.DrainLimit},
+		Requests: box.RequestConfig{MaxBody: c.MaxBody, ClaimWindow: c.ClaimWindow, HallDistance: c.HallDistance},
+		Control: box.ControlConfig{
+			LeaseTTL:  c.LeaseTTL,
+			OrderLife: c.OrderLife,
+			Placement: placement.Settings{MoveCost: c.MoveCost, Copies: c.Copies, SpareEngines: c.Spares},
+		},
+		Log: log,
 	}
 }
 
+// newLogger returns a logger of lines in JSON from a level on.
 func newLogger(level string) (*zap.Logger, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
