--- a/internal/box/capacity_bench_test.go
+++ b/internal/box/capacity_bench_test.go
@@ -117,11 +117,11 @@
 	for _, customers := range []int{2, 50, 300} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
 			box := syntheticBox(18)
-			table := bundle.Table{Customers: map[string]bundle.Entry{}}
+			table := bundle.Table{Customers: map[string]bundle.TableEntry{}}
 			for c := range customers {
 				text := strings.Replace(bundleText(1, "a", "1GiB", "m1", "m2"), "customer: acme", fmt.Sprintf("customer: c%d", c), 1)
 				putText(box, fmt.Sprintf("c%d", c), text)
-				table.Customers[fmt.Sprintf("c%d", c)] = bundle.Entry{Version: 1}
+				table.Customers[fmt.Sprintf("c%d", c)] = bundle.TableEntry{Version: 1}
 			}
 			for b.Loop() {
 				if _, err := box.inForce.build(b.Context(), 1, table); err != nil {
--- a/internal/box/engine_runs.go
+++ b/internal/box/engine_runs.go
@@ -51,7 +51,7 @@
 	}, d.take)
 	err = e.resume(ctx, client, d, err)
 	if err == nil {
-		e.router.Served(r.item, time.Since(begun))
+		e.router.RecordSlotTime(r.item, time.Since(begun))
 	}
 	return err
 }
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -160,7 +160,7 @@
 func (s *fleetState) noteReport(id string, holding orders.Holding) {
 	old, ok := s.snapshot.Load().engines[id]
 	if ok && old.reported && holding.Incarnation != "" && old.holding.Incarnation != holding.Incarnation {
-		s.router.CacheGone(id)
+		s.router.DropPrefixes(id)
 		s.view.MarkStaying(id)
 	}
 	if holding.Leaving {
--- a/internal/box/hall_controller.go
+++ b/internal/box/hall_controller.go
@@ -40,7 +40,7 @@
 		PublishHoldings: h.publishHoldings,
 		PublishLoads:    h.publishLoads,
 		OrderLife:       parts.config.OrderLife,
-		Set:             parts.set,
+		Metrics:         parts.set,
 	}
 }
 
--- a/internal/box/heartbeat_message.go
+++ b/internal/box/heartbeat_message.go
@@ -29,7 +29,7 @@
 		Peer:        h.self.peer(),
 		Generations: map[string]records.Generation{},
 		Sent:        map[string]int64{},
-		Leaving:     h.members.view.MarkedLeaving(),
+		Leaving:     h.members.view.AnnouncedLeaving(),
 		Full:        last.count%fullEvery == 0,
 	}
 	last.count++
--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -64,7 +64,7 @@
 			go h.send(ctx, address, message)
 		}
 		interval, silence := heartbeatTiming(h.interval, len(targets))
-		h.members.view.SetSilence(silence)
+		h.members.view.SetLapse(silence)
 		select {
 		case <-h.soon:
 			// At once, but no more often than soonShare times an interval.
@@ -91,7 +91,7 @@
 
 // take takes a heartbeat in, and fetches the records of which its sender has a newer generation.
 func (h *heartbeats) take(message peer.Heartbeat) {
-	h.members.view.Hear(message.Peer)
+	h.members.view.Heartbeat(message.Peer)
 	h.fleet.sent.take(message.Peer.Incarnation, message.Sent)
 	for _, id := range message.Leaving {
 		h.members.view.MarkLeaving(id)
@@ -138,7 +138,7 @@
 	if message.Peer.Hall == h.self.hall && !starting {
 		return peer.Heartbeat{}, nil
 	}
-	reply := peer.Heartbeat{Peer: h.self.peer(), Leaving: h.members.view.MarkedLeaving()}
+	reply := peer.Heartbeat{Peer: h.self.peer(), Leaving: h.members.view.AnnouncedLeaving()}
 	reply.Generations = h.cache.Generations(func(name string) bool {
 		return isUrgent(name) || (isShared(name) && (starting || message.Full))
 	})
--- a/internal/box/model_choice.go
+++ b/internal/box/model_choice.go
@@ -24,7 +24,7 @@
 	list = slices.DeleteFunc(list, func(c routing.Candidate) bool { return r.refusedBy[c.ID] })
 	picked, err := s.router.Pick(r.item, r.message.GetPrompt(), list)
 	if err != nil {
-		s.demand.Miss(r.key, s.router.Service(r.item))
+		s.demand.Miss(r.key, s.router.SlotTime(r.item))
 		return choice{}, notRun(connect.CodeUnavailable, reasonNoUpstream, "no engine holds the model at the moment", comeBack)
 	}
 	incarnation := s.fleet.snapshot.Load().engines[picked.ID].holding.Incarnation
@@ -47,7 +47,7 @@
 		Slots:  s.fleet.snapshot.Load().slots[r.model.Pool],
 	})
 	if overload != nil {
-		s.demand.Miss(r.key, s.router.Service(r.item))
+		s.demand.Miss(r.key, s.router.SlotTime(r.item))
 		return nil, overloaded(overload)
 	}
 	ended := s.demand.Begin(r.key)
--- a/internal/box/overload_test.go
+++ b/internal/box/overload_test.go
@@ -68,7 +68,7 @@
 				}
 			}
 		}
-		spec.config = func(c *Config) { c.Control.Placement.Copies = 3 }
+		spec.config = func(c *Config) { c.Control.Placement.Replicas = 3 }
 		ratio := 0.0
 		withFleet(spec, func(t *testFleet) {
 			b := t.boxes["h1-b1"]
--- a/internal/box/request_counters.go
+++ b/internal/box/request_counters.go
@@ -23,7 +23,7 @@
 		result = burn.Late
 	}
 	customer := r.caller.bundle.Customer
-	c.burn.Record(customer, r.model.Name, r.model.Objective, result, "")
+	c.burn.Count(customer, r.model.Name, r.model.Objective, result, "")
 	labels := fmt.Sprintf("{customer=%q,model=%q}", customer, r.model.Name)
 	c.set.GetOrCreateHistogram("ospreymoor_first_token_seconds" + labels).Update(d.firstToken().Seconds())
 	c.set.GetOrCreateHistogram("ospreymoor_between_tokens_seconds" + labels).Update(d.betweenTokens().Seconds())
@@ -33,7 +33,7 @@
 
 // servedCall counts a whole answer of a plain service; calls have no targets but their timeout.
 func (c *requestCounters) servedCall(call *serviceCall) {
-	c.burn.Record(call.caller.bundle.Customer, call.service.Name, bundle.DefaultObjective, burn.WithinTarget, "")
+	c.burn.Count(call.caller.bundle.Customer, call.service.Name, bundle.DefaultObjective, burn.WithinTarget, "")
 }
 
 // refusedModel counts a request on a model without a whole answer; r is nil if the caller is not known.
@@ -61,7 +61,7 @@
 		result = burn.Failed
 	}
 	if !refused.callersFault() {
-		c.burn.Record(customer, name, objective, result, refused.reason)
+		c.burn.Count(customer, name, objective, result, refused.reason)
 	}
 	c.refused(customer, refused)
 }
--- a/internal/box/synthetic_box_test.go
+++ b/internal/box/synthetic_box_test.go
@@ -24,7 +24,7 @@
 		Platform: PlatformConfig{URL: "http://platform:1", ReadsPerSecond: 1, WritesPerSecond: 1},
 		Requests: RequestConfig{ClaimWindow: time.Hour},
 	})
-	in := placement.Input{Settings: placement.Settings{Pending: 1 << 30}}
+	in := placement.Input{Settings: placement.Settings{MaxLoads: 1 << 30}}
 	list := membership.List{Generation: 1}
 	for e := range engines {
 		id := fmt.Sprintf("hall-%d-engine-%d", e%7, e)
--- a/internal/box/wanted_units.go
+++ b/internal/box/wanted_units.go
@@ -72,7 +72,7 @@
 		case s.leaving(state):
 			e.Condition = placement.Leaving
 		case !s.loads.reporting(id):
-			e.Condition = placement.Unheard
+			e.Condition = placement.Unresponsive
 		}
 		if state.reported {
 			e.Memory, e.Slots = min(e.Memory, state.holding.Capacity), state.holding.Slots
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -185,7 +185,7 @@
 		Control: box.ControlConfig{
 			LeaseTTL:  c.LeaseTTL,
 			OrderLife: c.OrderLife,
-			Placement: placement.Settings{MoveCost: c.MoveCost, Copies: c.Copies, SpareEngines: c.Spares},
+			Placement: placement.Settings{MoveCost: c.MoveCost, Replicas: c.Copies, SpareEngines: c.Spares},
 		},
 		Log: log,
 	}
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -88,7 +88,6 @@
 		Queued:      int(s.GetQueued()),
 		Slots:       int(s.GetSlots()),
 		Leaving:     s.GetLeaving(),
-		Role:        s.GetRole(),
 		Term:        s.GetTerm(),
 	}
 }
--- a/pkg/bundle/registry.go
+++ b/pkg/bundle/registry.go
@@ -196,7 +196,7 @@
 			return table, err
 		}
 	}
-	entry := Entry{Version: next.Version, Since: time.Now().UTC()}
+	entry := TableEntry{Version: next.Version, Since: time.Now().UTC()}
 	return table.with(next.Customer, entry), nil
 }
 
--- a/pkg/bundle/table.go
+++ b/pkg/bundle/table.go
@@ -20,11 +20,11 @@
 
 // Table holds the version of each customer that is in force.
 type Table struct {
-	Customers map[string]Entry `json:"customers"`
+	Customers map[string]TableEntry `json:"customers"`
 }
 
-// Entry is one customer's line in the table.
-type Entry struct {
+// TableEntry is one customer's line in the table.
+type TableEntry struct {
 	Version uint64 `json:"version"`
 	// Retired versions were in force last but serve nothing now.
 	Retired bool      `json:"retired,omitempty"`
@@ -44,8 +44,8 @@
 }
 
 // with is the table with another entry for a customer; t stays as it is.
-func (t Table) with(customer string, entry Entry) Table {
-	next := Table{Customers: make(map[string]Entry, len(t.Customers)+1)}
+func (t Table) with(customer string, entry TableEntry) Table {
+	next := Table{Customers: make(map[string]TableEntry, len(t.Customers)+1)}
 	for name, old := range t.Customers {
 		next.Customers[name] = old
 	}
@@ -54,7 +54,7 @@
 }
 
 // state is the State of one of the customer's versions.
-func (e Entry) state(version uint64) string {
+func (e TableEntry) state(version uint64) string {
 	switch {
 	case version != e.Version:
 		return StateSignedOff
--- a/pkg/burn/burn.go
+++ b/pkg/burn/burn.go
@@ -41,8 +41,8 @@
 	shortSlots = 2
 )
 
-// Line counts the requests of one customer's model or service since its box started.
-type Line struct {
+// Counts counts the requests of one customer's model or service since its box started.
+type Counts struct {
 	Customer string `json:"customer"`
 	// Model is the name of the model or of the service.
 	Model string `json:"model"`
@@ -72,14 +72,14 @@
 	// Sequence grows with each request: the highest is the latest.
 	Sequence uint64    `json:"sequence"`
 	Since    time.Time `json:"since"`
-	Lines    []Line    `json:"lines"`
+	Lines    []Counts  `json:"lines"`
 }
 
 // Recorder counts for one box. It is safe for concurrent use.
 type Recorder struct {
 	mu       sync.Mutex
 	snapshot Snapshot
-	lines    map[lineKey]*Line
+	lines    map[lineKey]*Counts
 }
 
 type lineKey struct{ customer, model string }
@@ -88,18 +88,18 @@
 func NewRecorder(box, incarnation string) *Recorder {
 	return &Recorder{
 		snapshot: Snapshot{Box: box, Incarnation: incarnation, Since: time.Now().UTC()},
-		lines:    map[lineKey]*Line{},
+		lines:    map[lineKey]*Counts{},
 	}
 }
 
-// Record counts one request; reason counts for refusals only.
-func (r *Recorder) Record(customer, model string, objective float64, result Result, reason string) {
+// Count counts one request; reason counts for refusals only.
+func (r *Recorder) Count(customer, model string, objective float64, result Result, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := lineKey{customer, model}
 	line, ok := r.lines[key]
 	if !ok {
-		line = &Line{Customer: customer, Model: model}
+		line = &Counts{Customer: customer, Model: model}
 		r.lines[key] = line
 	}
 	line.Objective = objective
@@ -113,7 +113,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snapshot := r.snapshot
-	snapshot.Lines = make([]Line, 0, len(r.lines))
+	snapshot.Lines = make([]Counts, 0, len(r.lines))
 	for _, line := range r.lines {
 		snapshot.Lines = append(snapshot.Lines, line.clone())
 	}
@@ -122,7 +122,7 @@
 }
 
 // count adds one request to the totals.
-func (l *Line) count(result Result, reason string) {
+func (l *Counts) count(result Result, reason string) {
 	switch result {
 	case WithinTarget:
 		l.Within++
@@ -139,7 +139,7 @@
 }
 
 // slot adds one request to the slot of its time.
-func (l *Line) slot(now time.Time, missed bool) {
+func (l *Counts) slot(now time.Time, missed bool) {
 	number := slotNumber(now)
 	if len(l.Slots) == 0 || l.Slots[len(l.Slots)-1].Number != number {
 		l.Slots = append(l.Slots, Slot{Number: number})
@@ -154,7 +154,7 @@
 	}
 }
 
-func (l *Line) clone() Line {
+func (l *Counts) clone() Counts {
 	c := *l
 	c.Slots = append([]Slot(nil), l.Slots...)
 	c.Refused = nil
@@ -170,7 +170,7 @@
 // slotNumber is the number of the slot under way at a time.
 func slotNumber(at time.Time) int64 { return at.Unix() / int64(slotSpan.Seconds()) }
 
-func sortLines(lines []Line) {
+func sortLines(lines []Counts) {
 	sort.Slice(lines, func(i, j int) bool {
 		if lines[i].Customer != lines[j].Customer {
 			return lines[i].Customer < lines[j].Customer
--- a/pkg/burn/example_test.go
+++ b/pkg/burn/example_test.go
@@ -10,11 +10,11 @@
 func ExampleReport() {
 	first, second := burn.NewRecorder("box-1", "life-1"), burn.NewRecorder("box-2", "life-2")
 	for range 97 {
-		first.Record("acme", "writer", 0.95, burn.WithinTarget, "")
+		first.Count("acme", "writer", 0.95, burn.WithinTarget, "")
 	}
-	second.Record("acme", "writer", 0.95, burn.Late, "")
-	second.Record("acme", "writer", 0.95, burn.Refused, "rate limit")
-	second.Record("acme", "writer", 0.95, burn.Failed, "")
+	second.Count("acme", "writer", 0.95, burn.Late, "")
+	second.Count("acme", "writer", 0.95, burn.Refused, "rate limit")
+	second.Count("acme", "writer", 0.95, burn.Failed, "")
 
 	// A kept snapshot of a box that is gone counts once, however often it is seen.
 	snapshots := []burn.Snapshot{first.Snapshot(), second.Snapshot(), first.Snapshot()}
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -51,7 +51,7 @@
 
 // Status is the sum of all boxes' lines of one model or service, with the rates.
 type Status struct {
-	Line
+	Counts
 	// Requests is the number of all requests, refused ones included.
 	Requests uint64
 	// BudgetLeft is the share of the error budget left; below 0 it is overspent.
@@ -72,17 +72,17 @@
 			latest[s.Incarnation] = s
 		}
 	}
-	sums := map[lineKey]*Line{}
+	sums := map[lineKey]*Counts{}
 	for _, s := range latest {
 		for _, line := range s.Lines {
 			key := lineKey{line.Customer, line.Model}
 			if sums[key] == nil {
-				sums[key] = &Line{Customer: line.Customer, Model: line.Model, Refused: map[string]uint64{}}
+				sums[key] = &Counts{Customer: line.Customer, Model: line.Model, Refused: map[string]uint64{}}
 			}
 			sums[key].add(line)
 		}
 	}
-	lines := make([]Line, 0, len(sums))
+	lines := make([]Counts, 0, len(sums))
 	for _, line := range sums {
 		lines = append(lines, *line)
 	}
@@ -95,7 +95,7 @@
 }
 
 // add adds another box's line of the same model.
-func (l *Line) add(other Line) {
+func (l *Counts) add(other Counts) {
 	l.Objective = max(l.Objective, other.Objective)
 	l.Within += other.Within
 	l.Late += other.Late
@@ -107,8 +107,8 @@
 }
 
 // status is the error budget and the burn rates of a sum.
-func (l Line) status(now time.Time) Status {
-	s := Status{Line: l, Requests: l.Within + l.Late + l.Failed}
+func (l Counts) status(now time.Time) Status {
+	s := Status{Counts: l, Requests: l.Within + l.Late + l.Failed}
 	for _, n := range l.Refused {
 		s.Requests += n
 	}
@@ -125,7 +125,7 @@
 
 // rate is the share of missed requests over the latest slots, as a multiple of the share allowed;
 // 0 without requests.
-func (l Line) rate(now time.Time, slots int64, allowed float64) float64 {
+func (l Counts) rate(now time.Time, slots int64, allowed float64) float64 {
 	first := slotNumber(now) - slots + 1
 	var total, missed uint64
 	for _, slot := range l.Slots {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -111,16 +111,16 @@
 	}
 }
 
-// SetSilence sets the time without a heartbeat after which a peer counts as gone: several times
+// SetLapse sets the time without a heartbeat after which a peer counts as gone: several times
 // the interval of heartbeats, which is longer in large fleets.
-func (v *View) SetSilence(lapse time.Duration) {
+func (v *View) SetLapse(lapse time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lapse = lapse
 }
 
-// Hear takes a peer's heartbeat in.
-func (v *View) Hear(peer Peer) {
+// Heartbeat takes a peer's heartbeat in.
+func (v *View) Heartbeat(peer Peer) {
 	if peer.ID == v.self {
 		return
 	}
@@ -148,8 +148,8 @@
 	delete(v.leaving, upstream)
 }
 
-// MarkedLeaving lists the upstreams that announced themselves that they leave, by id.
-func (v *View) MarkedLeaving() []string {
+// AnnouncedLeaving lists the upstreams that announced themselves that they leave, by id.
+func (v *View) AnnouncedLeaving() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	ids := make([]string, 0, len(v.leaving))
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -42,8 +42,8 @@
 	// OrderLife is the longest time after which an order that was sent can still take effect
 	// at an engine that is not fenced. Optional: 0 takes 30 s.
 	OrderLife time.Duration
-	// Set takes the counters. Optional, for embedders: nil takes the default set.
-	Set *metrics.Set
+	// Metrics takes the counters. Optional, for embedders: nil takes the default set.
+	Metrics *metrics.Set
 
 	controllerState
 }
@@ -104,8 +104,8 @@
 	if c.RepairTerm == nil {
 		c.RepairTerm = func() int64 { return 0 }
 	}
-	if c.Set == nil {
-		c.Set = metrics.GetDefaultSet()
+	if c.Metrics == nil {
+		c.Metrics = metrics.GetDefaultSet()
 	}
 	c.states = map[string]observed{}
 	c.takeOverTurn = semaphore.NewWeighted(1)
--- a/pkg/orders/example_test.go
+++ b/pkg/orders/example_test.go
@@ -24,7 +24,7 @@
 			return nil
 		},
 	}
-	plan := placement.Plan{Number: 1, Units: []placement.Copies{{
+	plan := placement.Plan{Number: 1, Units: []placement.UnitPlaces{{
 		Unit:   placement.Unit{Model: "acme/writer", Item: writer},
 		Places: []placement.Place{{Engine: "e1", Since: 1}},
 	}}}
--- a/pkg/orders/orders.go
+++ b/pkg/orders/orders.go
@@ -53,8 +53,6 @@
 	Slots int
 	// Leaving engines take nothing new.
 	Leaving bool
-	// Role as the engine reports it; no decision uses it.
-	Role string
 	// Term is the highest term the engine has seen.
 	Term int64
 }
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -238,5 +238,5 @@
 	case err != nil:
 		result = "failed"
 	}
-	w.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_orders_total{order=%q,result=%q}", call, result)).Inc()
+	w.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_orders_total{order=%q,result=%q}", call, result)).Inc()
 }
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -12,7 +12,7 @@
 
 // fleetOf is a fleet of so many engines in four halls with so many models.
 func fleetOf(engines, models int) placement.Input {
-	in := placement.Input{Settings: placement.Settings{MoveCost: 0.2, Pending: 1 << 20}, Now: time.Unix(1000, 0)}
+	in := placement.Input{Settings: placement.Settings{MoveCost: 0.2, MaxLoads: 1 << 20}, Now: time.Unix(1000, 0)}
 	for e := range engines {
 		in.Engines = append(in.Engines, placement.Engine{
 			ID: fmt.Sprintf("e%03d", e), Hall: fmt.Sprintf("h%d", e%4), Pool: "llm",
--- a/pkg/placement/builder.go
+++ b/pkg/placement/builder.go
@@ -41,11 +41,11 @@
 
 // newBuilder takes the engines and the wanted units of in, without any replica yet.
 func newBuilder(in Input) *builder {
-	if in.Settings.Copies == 0 {
-		in.Settings.Copies = defaultReplicas
+	if in.Settings.Replicas == 0 {
+		in.Settings.Replicas = defaultReplicas
 	}
-	if in.Settings.Pending == 0 {
-		in.Settings.Pending = defaultPending
+	if in.Settings.MaxLoads == 0 {
+		in.Settings.MaxLoads = defaultMaxLoads
 	}
 	b := &builder{
 		in:      in,
--- a/pkg/placement/demand.go
+++ b/pkg/placement/demand.go
@@ -30,7 +30,7 @@
 // is worth more than the move. A replica that is resident already needs no load, so that the
 // loads under way alone would not bound the additions.
 func (b *builder) followDemand() {
-	for range b.in.Settings.Pending {
+	for range b.in.Settings.MaxLoads {
 		if !b.mayLoad() || !b.addBestReplica(b.split()) {
 			return
 		}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -51,8 +51,8 @@
 const (
 	// Usable engines answer and may get new replicas.
 	Usable Condition = iota
-	// Unheard engines have not answered lately: their replicas stay planned but do not count.
-	Unheard
+	// Unresponsive engines have not answered lately: their replicas stay planned but do not count.
+	Unresponsive
 	// Leaving engines keep their replicas until others are confirmed elsewhere.
 	Leaving
 )
@@ -79,12 +79,12 @@
 	// MoveCost is the least gain of one load or eviction, in the units of loadCost: a higher
 	// cost moves less. Measured: 0.3 attains most, 3 moves least (commit 47e8f54).
 	MoveCost float64
-	// Copies is the number of replicas that a model gets where memory is left, so that the loss
+	// Replicas is the number of replicas that a model gets where memory is left, so that the loss
 	// of an engine leaves one; 0 takes 2.
-	Copies int
-	// Pending bounds the loads under way at once in the whole fleet; 0 takes 8. Only benchmarks
+	Replicas int
+	// MaxLoads bounds the loads under way at once in the whole fleet; 0 takes 8. Only benchmarks
 	// and embedders set it.
-	Pending int
+	MaxLoads int
 	// Settle is the age at which a replica may stand in for another one: longer than a record
 	// takes to reach all boxes.
 	Settle time.Duration
@@ -108,8 +108,8 @@
 const (
 	// defaultReplicas is Settings.Copies if it is 0: 2 replicas, chosen, not measured.
 	defaultReplicas = 2
-	// defaultPending is Settings.Pending if it is 0: 8 loads, chosen, not measured.
-	defaultPending = 8
+	// defaultMaxLoads is Settings.Pending if it is 0: 8 loads, chosen, not measured.
+	defaultMaxLoads = 8
 )
 
 // Next makes the plan that follows in.Last. The steps come in the order of their urgency, and
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -14,8 +14,8 @@
 	Since int64 `json:"since"`
 }
 
-// Copies is one unit with the places of its replicas.
-type Copies struct {
+// UnitPlaces is one unit with the places of its replicas.
+type UnitPlaces struct {
 	Unit
 	// Places are in the order of the engines' ids.
 	Places []Place `json:"places"`
@@ -30,8 +30,8 @@
 	// Term of the planner that made it.
 	Term int64 `json:"term"`
 	// Planner is the peer address of the box that made it.
-	Planner string   `json:"planner,omitempty"`
-	Units   []Copies `json:"units"`
+	Planner string       `json:"planner,omitempty"`
+	Units   []UnitPlaces `json:"units"`
 	// Serving is the item that answers for each model.
 	Serving map[string]string `json:"serving"`
 }
@@ -66,12 +66,12 @@
 	return true
 }
 
-func (c Copies) equal(other Copies) bool {
+func (c UnitPlaces) equal(other UnitPlaces) bool {
 	return c.Model == other.Model && c.Retired.Equal(other.Retired) && c.Item == other.Item && c.Pool == other.Pool &&
 		slices.Equal(c.Adapters, other.Adapters) && slices.Equal(c.Places, other.Places)
 }
 
-func (c Copies) on(engine string) bool {
+func (c UnitPlaces) on(engine string) bool {
 	return slices.ContainsFunc(c.Places, func(p Place) bool { return p.Engine == engine })
 }
 
@@ -84,7 +84,7 @@
 			places = append(places, Place{Engine: engine, Since: since})
 		}
 		sort.Slice(places, func(i, j int) bool { return places[i].Engine < places[j].Engine })
-		plan.Units = append(plan.Units, Copies{Unit: u.Unit, Places: places, Retired: u.retired})
+		plan.Units = append(plan.Units, UnitPlaces{Unit: u.Unit, Places: places, Retired: u.retired})
 	}
 	sort.Slice(plan.Units, func(i, j int) bool { return plan.Units[i].Item.Name < plan.Units[j].Item.Name })
 	return plan
--- a/pkg/placement/room.go
+++ b/pkg/placement/room.go
@@ -61,7 +61,7 @@
 }
 
 // mayLoad reports whether one more load may be under way in the fleet.
-func (b *builder) mayLoad() bool { return b.pending < b.in.Settings.Pending }
+func (b *builder) mayLoad() bool { return b.pending < b.in.Settings.MaxLoads }
 
 // carriedDemand is the demand that one replica of each unit carries.
 func (b *builder) carriedDemand(units []*unit) float64 {
--- a/pkg/placement/steps.go
+++ b/pkg/placement/steps.go
@@ -99,7 +99,7 @@
 
 // spread gives units a second replica, and so on up to Settings.Copies, where memory is free.
 func (b *builder) spread() {
-	for replicas := 1; replicas < b.in.Settings.Copies; replicas++ {
+	for replicas := 1; replicas < b.in.Settings.Replicas; replicas++ {
 		thin := b.sorted(func(u *unit) bool { return u.wanted && b.usableReplicas(u) == replicas })
 		sort.SliceStable(thin, func(i, j int) bool { return thin[i].Demand > thin[j].Demand })
 		for _, u := range thin {
@@ -115,7 +115,7 @@
 // spreadHalls gives units whose replicas all stand in one hall another one elsewhere, where
 // memory is free: the first ones may have been placed while other halls did not answer.
 func (b *builder) spreadHalls() {
-	if b.in.Settings.Copies < 2 {
+	if b.in.Settings.Replicas < 2 {
 		return
 	}
 	for _, u := range b.sorted(func(u *unit) bool { return u.wanted && len(u.on) > 0 }) {
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -96,16 +96,16 @@
 	return len(record.sent)
 }
 
-// Served records how long a request on a model was in a slot.
-func (r *Router) Served(model string, took time.Duration) {
+// RecordSlotTime records how long a request on a model was in a slot.
+func (r *Router) RecordSlotTime(model string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	mean := r.service(model)
 	r.services[model] = mean + time.Duration(serviceWeight*float64(took-mean))
 }
 
-// Service is the mean time that a request on a model is in a slot.
-func (r *Router) Service(model string) time.Duration {
+// SlotTime is the mean time that a request on a model is in a slot.
+func (r *Router) SlotTime(model string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.service(model)
@@ -129,8 +129,8 @@
 	return time.Now().Before(r.record(upstream).avoidUntil)
 }
 
-// CacheGone records that an upstream dropped its cached prefixes, as after a restart.
-func (r *Router) CacheGone(upstream string) {
+// DropPrefixes records that an upstream dropped its cached prefixes, as after a restart.
+func (r *Router) DropPrefixes(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.prefixes.drop(upstream)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -45,9 +45,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(choice.Wait).To(Equal(4 * time.Second))
 			for range 500 {
-				router.Served("m", time.Second)
+				router.RecordSlotTime("m", time.Second)
 			}
-			Expect(router.Service("m")).To(BeNumerically("~", time.Second, time.Millisecond))
+			Expect(router.SlotTime("m")).To(BeNumerically("~", time.Second, time.Millisecond))
 			choice, _ = router.Pick("m", "", candidates(5))
 			Expect(choice.Wait).To(BeNumerically("~", 2*time.Second, 2*time.Millisecond))
 		})
@@ -92,7 +92,7 @@
 			Expect(picked(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
 			Expect(picked(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
 			Expect(picked(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
-			router.CacheGone("e0")
+			router.DropPrefixes("e0")
 			Expect(picked(router, prompt, candidates(0, 0))).To(HaveLen(2))
 		})
 	})
