--- a/internal/box/pages.go
+++ b/internal/box/pages.go
@@ -45,7 +45,7 @@
 		_, _ = fmt.Fprintln(w, "draining")
 		return
 	}
-	_, _ = fmt.Fprintln(w, "starting: neither the platform nor a peer has told what is in force; check --platform and --peer")
+	_, _ = fmt.Fprintln(w, "starting: what is in force is not known from the platform or a peer yet; check --platform and --peer")
 }
 
 // newServer returns the server for callers: HTTP/1.1, and HTTP/2 without TLS.
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -35,7 +35,7 @@
 // commandLine is the whole command line.
 type commandLine struct {
 	Serve   serveCommand   `cmd:"" help:"Run an entry box."`
-	Node    nodeCommand    `cmd:"" help:"Run one machine on the users' platform."`
+	Node    nodeCommand    `cmd:"" help:"Run one box on the users' platform."`
 	Dev     devCommand     `cmd:"" help:"Run everything in one process, on embedded stand-ins."`
 	Bundle  bundleCommand  `cmd:"" help:"Check, sign off, roll, retire or list bundles."`
 	Report  reportCommand  `cmd:"" help:"Report how the service does."`
--- a/internal/cmd/dev_platform.go
+++ b/internal/cmd/dev_platform.go
@@ -64,7 +64,7 @@
 		}
 		front = box.Front
 	}
-	_, _ = fmt.Fprintf(out, "%d machines before %d engines and a plain service\n\n", devPlatformBoxes, devEngines)
+	_, _ = fmt.Fprintf(out, "%d boxes before %d engines and a plain service\n\n", devPlatformBoxes, devEngines)
 	return c.tryPlatform(ctx, front, out)
 }
 
--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -22,8 +22,8 @@
 // engine's time (docs/operating/settings.md), chosen, not measured.
 type nodeCommand struct {
 	Settings    string        `name:"settings" env:"OSPREYMOOR_NODE_FILE" default:"/etc/ospreymoor/local.yaml" help:"The platform's settings file."`
-	MetricsPort int           `name:"metrics-port" env:"OSPREYMOOR_METRICS_PORT" default:"0" help:"Port for metrics on the machine's address; 0 serves none."`
-	LeaseTTL    time.Duration `name:"order-lease-ttl" env:"OSPREYMOOR_ORDER_LEASE_TTL" default:"3s" help:"How long the lease of the machine that gives orders lasts without renewal."`
+	MetricsPort int           `name:"metrics-port" env:"OSPREYMOOR_METRICS_PORT" default:"0" help:"Port for metrics on the box's address; 0 serves none."`
+	LeaseTTL    time.Duration `name:"order-lease-ttl" env:"OSPREYMOOR_ORDER_LEASE_TTL" default:"3s" help:"How long the order lease lasts without a renewal."`
 	MoveCost    float64       `name:"load-cost" env:"OSPREYMOOR_LOAD_COST" default:"0.03" help:"What a model's load must gain at least, in squared engine time."`
 	LogLevel    string        `name:"node-log-level" env:"OSPREYMOOR_NODE_LOG_LEVEL" default:"info" enum:"debug,info,warn,error" help:"Least level of log lines."`
 }
--- a/pkg/kv/memory.go
+++ b/pkg/kv/memory.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 )
 
-// Memory is the service's state machine in this process, for tests and stand-ins.
+// Memory is the service within this process, for tests and stand-ins.
 type Memory struct {
 	mu sync.Mutex
 	// revision is that of the last change.
--- a/pkg/residency/fleet_test.go
+++ b/pkg/residency/fleet_test.go
@@ -24,7 +24,7 @@
 	loadTime        = 2 * time.Second
 )
 
-// fakeEngine carries orders out as the engines' protocol says, and notes when it was overfilled.
+// fakeEngine carries orders out by the engines' protocol, and notes when it was overfilled.
 type fakeEngine struct {
 	mu       sync.Mutex
 	taken    int64
