--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -10,7 +10,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"connectrpc.com/connect"
@@ -25,15 +24,10 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 	"ospreymoor.example/ospreymoor/pkg/membership"
 	"ospreymoor.example/ospreymoor/pkg/placement"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestBox(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Entry box")
-}
+func TestBox(t *testing.T) { spectest.Run(t, "Entry box") }
 
 const (
 	gib           = 1 << 30
@@ -81,8 +75,7 @@
 
 // withFleet runs f on a fleet in a bubble.
 func withFleet(spec fleetSpec, f func(*testFleet)) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
+	spectest.Bubble(func() {
 		t := newTestFleet(spec)
 		defer func() {
 			t.close()
--- a/internal/cmd/settings_test.go
+++ b/internal/cmd/settings_test.go
@@ -9,12 +9,11 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func TestCmd(t *testing.T) {
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Command line")
-}
+func TestCmd(t *testing.T) { spectest.Run(t, "Command line") }
 
 var _ = Describe("The page of settings", func() {
 	It("lists each flag of serve with its variable, default and meaning", func() {
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/google/uuid"
@@ -14,22 +13,10 @@
 
 	"ospreymoor.example/ospreymoor/pkg/claims"
 	"ospreymoor.example/ospreymoor/pkg/kv"
+	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var suiteT *testing.T
-
-func TestClaims(t *testing.T) {
-	suiteT = t
-	RegisterFailHandler(Fail)
-	RunSpecs(t, "Claims")
-}
-
-func bubble(f func()) {
-	synctest.Test(suiteT, func(*testing.T) {
-		defer GinkgoRecover()
-		f()
-	})
-}
+func TestClaims(t *testing.T) { spectest.Run(t, "Claims") }
 
 // keyNow makes a UUIDv7 of the bubble's time.
 func keyNow() string {
@@ -48,7 +35,7 @@
 
 var _ = Describe("Claims", func() {
 	It("of many callers at once give each key to one, and share writes", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			writes := 0
 			var mu sync.Mutex
 			store := kv.NewMemory().Store()
@@ -88,7 +75,7 @@
 	})
 
 	It("keep one customer's key from another's, and from another request", func() {
-		bubble(func() {
+		spectest.Bubble(func() {
 			c := claims.New(claims.Config{Store: kv.NewMemory().Store()})
 			key := keyNow()
 			for _, customer := range []string{"acme", "other"} {
@@ -107,7 +94,7 @@
 	// (its window seems long) claim it again.
 	forgottenThen := func(guard bool) error {
 		var err error
-		bubble(func() {
+		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			floorless := store
 			floorless.Get = func(ctx context.Context, key string) (kv.Record, error) {
