--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -31,7 +31,7 @@
 	Loads      *dispatch.LoadTracker
 	Demand     *residency.Demand
 	Controller *residency.Controller
-	// ModelUses lists what this box has running with adapters.
+	// ModelUses lists this box's requests in flight by upstream, model and adapter.
 	ModelUses func() []residency.ModelUse
 	// Leaving reports whether this box is about to stop.
 	Leaving func() bool
--- a/internal/gateway/uses.go
+++ b/internal/gateway/uses.go
@@ -6,14 +6,15 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// modelUses counts what this box has running with adapters. It is safe for concurrent use.
+// modelUses counts this box's requests in flight by upstream, model and adapter. It is safe for
+// concurrent use.
 type modelUses struct {
 	mu sync.Mutex
 	// running by use, the Running field left at 0.
 	running map[residency.ModelUse]int
 }
 
-// begin notes a request that uses an adapter, and returns the function to call at its end.
+// begin counts a request, and returns the function to call at its end.
 func (u *modelUses) begin(use residency.ModelUse) (end func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
