--- a/internal/requestlog/crashes_test.go
+++ b/internal/requestlog/crashes_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("a log of crashes", func() {
-	It("has under which content most upstreams crashed, whatever its requests were called", func() {
+	It("shows under which content most upstreams crashed, whatever the request ids", func() {
 		log := read(
 			`{"ts":"2026-01-02T03:04:05Z","msg":"attempt failed","id":"r1","backend":"e1","crashed":true,"content":"aa"}`,
 			`{"ts":"2026-01-02T03:04:06Z","msg":"attempt failed","id":"r1","backend":"e2","crashed":true,"content":"aa"}`,
--- a/internal/requestlog/request.go
+++ b/internal/requestlog/request.go
@@ -1,5 +1,5 @@
-// Package requestlog reads the lines that boxes log for each request (`request ended`) and for attempts under which
-// upstreams crashed (`attempt failed`), and adds up how requests ended. It owns nothing and keeps what it read in memory.
+// Package requestlog reads the lines that boxes log for each request (`request ended`) and for attempts under
+// which upstreams crashed (`attempt failed`), and sums up how requests ended. It keeps what it reads in memory.
 // `ospreymoor report requests` and `report crashes` use it; internal/gateway writes the lines.
 package requestlog
 
@@ -15,10 +15,11 @@
 	"github.com/juju/errors"
 )
 
-// Outcome is how a request ended, for its caller.
+// Outcome is how a request ended for its caller.
 type Outcome string
 
-// The outcomes. A request that is late by both its first event and a pause counts as late by its first.
+// The outcomes. A request whose first event was late and whose stream paused too long counts as late by its first
+// event.
 const (
 	InTime     Outcome = "in time"
 	LateFirst  Outcome = "late first"
@@ -28,16 +29,16 @@
 	CallerLeft Outcome = "caller left"
 )
 
-// Outcomes lists all of them, in the order in which reports have them.
+// Outcomes lists all outcomes in the order in which reports show them.
 var Outcomes = []Outcome{InTime, LateFirst, LatePause, Refused, Failed, CallerLeft}
 
-// Request is one request as its line describes it.
+// Request is one request as its log line describes it.
 type Request struct {
-	// Ended is the time of the line.
+	// Ended is the time of the log line.
 	Ended time.Time
 	ID    string
 	Route string
-	// Customer is empty where the request had none.
+	// Customer is empty if the request had none.
 	Customer string
 	// Model is empty for plain services.
 	Model   string
@@ -46,13 +47,13 @@
 	Outcome Outcome
 }
 
-// endedMessage is the message of the lines that count.
+// endedMessage is the message of log lines for requests that ended.
 const endedMessage = "request ended"
 
-// statusCallerLeft is what internal/gateway logs for a caller that closed its connection.
+// statusCallerLeft is the status that internal/gateway logs for a caller that closed its connection.
 const statusCallerLeft = 499
 
-// line is a log line as far as it is read. Times are in seconds; absent ones are 0.
+// line is the part of a log line that is parsed. Times are in seconds; absent ones are 0.
 type line struct {
 	Message   string    `json:"msg"`
 	Time      time.Time `json:"ts"`
@@ -73,21 +74,22 @@
 	Held      bool      `json:"held"`
 }
 
-// Log is what was read.
+// Log holds what was parsed.
 type Log struct {
 	Requests []Request
 	Crashes  []Crash
-	// RefusedContents counts the refusals of what upstreams crashed under, by its content.
+	// RefusedContents counts the requests that were refused because upstreams crash under them, by content.
 	RefusedContents map[string]int
-	// Lines is the number of log lines, whatever they say; Skipped is that of the lines that are none.
+	// Lines is the number of valid log lines, whatever their message. Skipped is the number of lines that are not
+	// log lines.
 	Lines, Skipped int
 }
 
-// maxLineBytes bounds a line: more than any line that a box writes.
+// maxLineBytes is the maximum length of a line, which is more than any line that a box writes.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of a log. A line may have a prefix before its JSON, such as a collector's time
-// and the box's name.
+// Read adds the lines of a log. A line may have a prefix before its JSON, such as the time and the box's name that
+// a log collector adds.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -100,24 +102,24 @@
 }
 
 func (l *Log) add(text []byte) {
-	var read line
+	var parsed line
 	start := bytes.IndexByte(text, '{')
-	if start < 0 || json.Unmarshal(text[start:], &read) != nil || read.Message == "" {
+	if start < 0 || json.Unmarshal(text[start:], &parsed) != nil || parsed.Message == "" {
 		l.Skipped++
 		return
 	}
 	l.Lines++
 	switch {
-	case read.Message == endedMessage:
-		l.Requests = append(l.Requests, read.request())
-		l.noteRefused(&read)
-	case read.Message == attemptMessage && read.Crashed:
-		l.Crashes = append(l.Crashes, Crash{At: read.Time, Content: read.Content, ID: read.ID, Upstream: read.Upstream})
+	case parsed.Message == endedMessage:
+		l.Requests = append(l.Requests, parsed.request())
+		l.countRefused(&parsed)
+	case parsed.Message == attemptMessage && parsed.Crashed:
+		l.Crashes = append(l.Crashes, Crash{At: parsed.Time, Content: parsed.Content, ID: parsed.ID, Upstream: parsed.Upstream})
 	}
 }
 
-// noteRefused counts a request that was refused because upstreams crash under it.
-func (l *Log) noteRefused(ended *line) {
+// countRefused counts a request that was refused because upstreams crash under it.
+func (l *Log) countRefused(ended *line) {
 	if ended.Content == "" || !ended.Held {
 		return
 	}
@@ -134,15 +136,15 @@
 	}
 }
 
-// refusals are the statuses of a box's own that say that the request did not run.
-var refusals = []int{http.StatusServiceUnavailable, http.StatusUnauthorized, http.StatusTooManyRequests}
+// refusalStatuses are the statuses with which a box itself refuses a request that did not run.
+var refusalStatuses = []int{http.StatusServiceUnavailable, http.StatusUnauthorized, http.StatusTooManyRequests}
 
 // outcome classifies a request. One without targets is never late.
 func (l *line) outcome() Outcome {
 	switch {
 	case l.Status == statusCallerLeft:
 		return CallerLeft
-	case l.Reason != "" && slices.Contains(refusals, l.Status):
+	case l.Reason != "" && slices.Contains(refusalStatuses, l.Status):
 		return Refused
 	case l.Status >= http.StatusBadRequest, l.Error != "":
 		return Failed
@@ -154,7 +156,7 @@
 	return InTime
 }
 
-// reason is why a request was not answered in time; empty if it was.
+// reason returns why a request was not answered in time; empty if it was.
 func (l *line) reason() string {
 	switch outcome := l.outcome(); {
 	case outcome == InTime:
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -38,7 +38,7 @@
 		Entry("an upstream's own 429", `"status":429`, requestlog.Failed, "upstream's status Too Many Requests"),
 		Entry("an upstream's failure", `"status":500`, requestlog.Failed, "upstream's status Internal Server Error"),
 		Entry("a stream that broke", `"status":200,"error":"unexpected EOF"`, requestlog.Failed, "answer broken off"),
-		Entry("a time that was over", `"status":504,"reason":"time is over"`, requestlog.Failed, "time is over"),
+		Entry("a deadline that passed", `"status":504,"reason":"time is over"`, requestlog.Failed, "time is over"),
 		Entry("a caller that left", `"status":499,"reason":"caller left"`, requestlog.CallerLeft, "caller left"),
 	)
 
@@ -46,7 +46,7 @@
 		Expect(read(`{"msg":"request ended","status":200,"customer":"acme"}`).Requests[0].Customer).To(Equal("acme"))
 	})
 
-	It("passes over what is no log line and counts it", func() {
+	It("skips and counts lines that are not log lines", func() {
 		log := read(`no log line`, ``, `{"half":`, `{}`, `12.3 box-1 {"msg":"request ended","id":"r1","status":200}`, `{"msg":"start"}`)
 		Expect(log.Skipped).To(Equal(3))
 		Expect(log.Lines).To(Equal(2))
@@ -78,7 +78,7 @@
 		Expect(rows[1].Total()).To(Equal(2))
 	})
 
-	It("takes a span that counts from the first end", func() {
+	It("selects a time span that is measured from the end of the first request", func() {
 		Expect(requestlog.Span(requests, time.Second, 3*time.Second)).To(ConsistOf(requests[0], requests[2]))
 		Expect(requestlog.Span(requests, 3*time.Second, 0)).To(HaveLen(3))
 		Expect(requestlog.Span(nil, 0, 0)).To(BeEmpty())
--- a/internal/requestlog/tally.go
+++ b/internal/requestlog/tally.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Span returns the requests that ended in a span, in the order of their ends. Both times count from the
-// first one; a to of 0 has no end.
+// Span returns the requests that ended in a time span, in the order of their ends. from and to are measured from
+// the end of the first request; a to of 0 sets no end.
 func Span(requests []Request, from, to time.Duration) []Request {
 	if len(requests) == 0 {
 		return nil
@@ -24,19 +24,19 @@
 	return within
 }
 
-// First is when the first of some requests ended; there must be one.
+// First returns when the first of the requests ended. There must be at least one.
 func First(requests []Request) time.Time {
 	first := slices.MinFunc(requests, func(a, b Request) int { return a.Ended.Compare(b.Ended) })
 	return first.Ended
 }
 
-// Row counts the requests of one group by their outcomes.
+// Row counts the requests of one group by outcome.
 type Row struct {
 	Name   string
 	Counts map[Outcome]int
 }
 
-// Total is the number of the row's requests.
+// Total returns the number of the row's requests.
 func (r *Row) Total() int {
 	total := 0
 	for _, count := range r.Counts {
@@ -45,11 +45,11 @@
 	return total
 }
 
-// Missed is the number of requests that were not answered in time; callers that left do not count.
+// Missed returns the number of requests that were not answered in time. Requests whose callers left do not count.
 func (r *Row) Missed() int { return r.Total() - r.Counts[InTime] - r.Counts[CallerLeft] }
 
-// Tally counts requests by group, the row with the most missed requests first. Requests of the group ""
-// are left out.
+// Tally counts requests by group, the row with the most missed requests first. Requests whose group is "" are left
+// out.
 func Tally(requests []Request, group func(Request) string) []Row {
 	counts := map[string]map[Outcome]int{}
 	for _, request := range requests {
