--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -38,9 +38,9 @@
 
 	It("refuses while all engines are busy, and sends to one that is not", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			demand := map[residency.WorkKey]float64{}
-			f.NoteDemand = func(work map[residency.WorkKey]float64) { maps.Copy(demand, work) }
+			f.RecordDemand = func(work map[residency.WorkKey]float64) { maps.Copy(demand, work) }
 			busy := dispatch.Load{Running: 1, Prefill: [dispatch.UrgencyLevels]int{100_000}}
 			f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e2": busy, "e3": busy}, time.Now())
 			got := f.ask(context.Background(), "r1", "/stream/x", "m")
@@ -50,13 +50,13 @@
 			Expect(demand).To(HaveKey(residency.WorkKey{ModelKey: residency.ModelKey{Service: "engines", Model: "m"}}))
 			f.Loads.SetRemoteLoads(map[string]dispatch.Load{"e0": busy, "e1": busy, "e3": busy}, time.Now())
 			Expect(f.ask(context.Background(), "r2", "/stream/x", "m").Code).To(Equal(http.StatusOK))
-			Expect(f.upstreams.on).To(Equal([]string{"e2"}))
+			Expect(f.upstreams.sentTo).To(Equal([]string{"e2"}))
 		})
 	})
 
-	It("holds a request back while all engines have prompts enough to read, for a part of its target", func() {
+	It("delays a request while all engines have enough prompts to read, up to a share of its target", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			route := routes.Route{
 				Host: "h", PathPrefix: "/paced/", Kind: routes.Stream, Target: target, GapTarget: 200 * time.Millisecond,
 				Shares: []routes.Share{{Service: "engines", Weight: 1}},
@@ -72,8 +72,8 @@
 			begun := time.Now()
 			Expect(f.ask(context.Background(), "r1", "/paced/x", "m").Code).To(Equal(http.StatusOK))
 			Expect(time.Since(begun)).To(Equal(100 * time.Millisecond))
-			Expect(f.upstreams.on).To(Equal([]string{"e2"}))
-			By("sending it all the same before it is late")
+			Expect(f.upstreams.sentTo).To(Equal([]string{"e2"}))
+			By("sending it anyway before it is late")
 			f.Loads.SetRemoteLoads(loads, time.Now())
 			begun = time.Now()
 			Expect(f.ask(context.Background(), "r2", "/paced/x", "m").Code).To(Equal(http.StatusOK))
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -8,25 +8,25 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// send sends the request to the chosen upstream once, and records the outcome as far as the head of
-// the answer shows it. The caller must end the ticket.
+// send sends the request once to the chosen upstream and records the outcome, as far as the head of the answer
+// shows it. The caller must end the ticket.
 func (r *inflight) send(ctx context.Context, choice dispatch.Choice, lastEventID string) (*Answer, *dispatch.Ticket, error) {
 	r.attempts.begin(choice)
-	r.noteDemand(choice.Uncached)
+	r.reportDemand(choice.Uncached)
 	ticket := r.beginLoad(choice)
 	attempt := Attempt{Request: r.request, LastEventID: lastEventID, Urgency: r.need.Urgency, Customer: r.customerName()}
 	if !r.deadlines.answer.IsZero() {
 		attempt.Left = time.Until(r.deadlines.answer)
 	}
-	r.noteAgainst(choice)
+	r.logSentAgainstNotice(choice)
 	begun := time.Now()
 	answer, err := r.gateway.Upstreams.Send(ctx, r.endpoint, attempt)
 	r.endpoint.End()
-	r.recordHead(ctx, choice, answer, err, time.Since(begun))
+	r.recordOutcome(ctx, choice, answer, err, time.Since(begun))
 	return answer, ticket, err
 }
 
-// beginLoad counts the request as load of the upstream, and as a use of its adapter.
+// beginLoad counts the request towards the load of the upstream and as a use of its model and adapter.
 func (r *inflight) beginLoad(choice dispatch.Choice) *dispatch.Ticket {
 	ticket := r.gateway.Loads.Begin(choice, r.need)
 	if r.need.Model != "" {
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -8,46 +8,48 @@
 	"github.com/juju/errors"
 )
 
-// bodyStall is the longest pause in a caller's body.
-const bodyStall = 5 * time.Second
+// bodyStallTimeout is the longest pause allowed while a caller sends its body.
+const bodyStallTimeout = 5 * time.Second
 
-// bodyPiece is how many bytes of a body are read at once: a box holds no more than has come.
-const bodyPiece = 16 << 10
+// bodyChunkSize is the largest number of bytes of a body that are read at once. A box thus holds little more than
+// has arrived.
+const bodyChunkSize = 16 << 10
 
-// Body is a caller's request body, or why there is none.
+// Body is a caller's request body, or the status of its refusal.
 type Body struct {
 	Bytes []byte
-	// Status is that of the refusal, in which case nothing is held; 0 if there is a body.
+	// Status is the status of the refusal, in which case no memory is reserved; 0 if the body was read.
 	Status int
 
-	holdings *Holdings
+	memory *MemoryBudget
 }
 
-// Release gives up what the body holds of the box's memory.
-func (b *Body) Release() { b.holdings.Give(int64(len(b.Bytes))) }
+// Release returns the body's memory to the box's budget.
+func (b *Body) Release() { b.memory.Release(int64(len(b.Bytes))) }
 
-// ReadBody reads a whole body within the configuration's limit and the memory that this box has for callers. A caller that stops sending
-// is refused after bodyStall. It writes the headers of a refusal, but not its status.
+// ReadBody reads a whole body within the configured size limit and this box's memory budget. It refuses a caller
+// that stops sending for bodyStallTimeout. It writes the headers of a refusal, but not its status.
 func (g *Gateway) ReadBody(w http.ResponseWriter, r *http.Request) Body {
 	if r.Body == nil || r.ContentLength == 0 {
-		return Body{holdings: g.Holdings}
+		return Body{memory: g.Holdings}
 	}
 	reader := r.Body
 	if table := g.Table(); table != nil && table.Limits.MaxBodyBytes > 0 {
 		reader = http.MaxBytesReader(w, r.Body, table.Limits.MaxBodyBytes)
 	}
-	// The deadline is set once the body has paused, so that none is left behind for what the server reads of the connection after the body.
-	stalled := time.AfterFunc(bodyStall, func() { _ = http.NewResponseController(w).SetReadDeadline(time.Now()) })
+	// The read deadline is set only once the body has stalled. No deadline is then left behind for what the server reads
+	// from the connection after the body.
+	stalled := time.AfterFunc(bodyStallTimeout, func() { _ = http.NewResponseController(w).SetReadDeadline(time.Now()) })
 	defer stalled.Stop()
-	body := Body{holdings: g.Holdings}
+	body := Body{memory: g.Holdings}
 	for {
-		piece := make([]byte, min(bodyPiece, max(512, cap(body.Bytes))))
-		n, err := reader.Read(piece)
-		stalled.Reset(bodyStall)
-		if n > 0 && !g.Holdings.Take(int64(n)) {
+		chunk := make([]byte, min(bodyChunkSize, max(512, cap(body.Bytes))))
+		n, err := reader.Read(chunk)
+		stalled.Reset(bodyStallTimeout)
+		if n > 0 && !g.Holdings.Reserve(int64(n)) {
 			return g.refuseBody(w, &body, http.StatusServiceUnavailable)
 		}
-		body.Bytes = append(body.Bytes, piece[:n]...)
+		body.Bytes = append(body.Bytes, chunk[:n]...)
 		if err == io.EOF {
 			return body
 		}
@@ -57,7 +59,7 @@
 	}
 }
 
-// bodyStatus is the status of a refusal by the error of reading a body.
+// bodyStatus returns the status of the refusal for an error of reading a body.
 func bodyStatus(err error) int {
 	var tooLarge *http.MaxBytesError
 	var timeout interface{ Timeout() bool }
@@ -67,11 +69,11 @@
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return http.StatusRequestTimeout
 	}
-	// The caller broke off; no line is written, since it has gone and nothing was done.
+	// The caller broke off. Nothing is logged, since it is gone and nothing was run.
 	return http.StatusBadRequest
 }
 
-// refuseBody gives up what came of a body.
+// refuseBody releases the memory of an incomplete body and prepares its refusal.
 func (g *Gateway) refuseBody(w http.ResponseWriter, body *Body, status int) Body {
 	body.Release()
 	if status == http.StatusServiceUnavailable {
@@ -80,5 +82,5 @@
 		refused.writeHead(w.Header())
 	}
 	w.Header().Set("Connection", "close") // The rest of the body is not read.
-	return Body{Status: status, holdings: nil}
+	return Body{Status: status, memory: nil}
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -2,33 +2,32 @@
 
 import "sync"
 
-// budgetShare is the part of the allowed ratio and slack that is used: the boxes keep to their shares
-// without asking each other.
+// budgetShare is the part of the configured ratio and slack that is used. It leaves a margin because the boxes
+// keep to their shares without coordinating.
 const budgetShare = 0.8
 
-// RetryLimits bound the retries at a service over all boxes.
+// RetryLimits limits the retries for one service over all boxes.
 type RetryLimits struct {
-	// Ratio of retries to requests.
+	// Ratio is the number of retries per request.
 	Ratio float64
-	// Slack is the number of retries that are allowed beside the ratio in one window.
+	// Slack is the number of retries that are allowed in one window in addition to the ratio.
 	Slack float64
 }
 
-// retryBudget bounds this box's retries at each service: a token bucket for each, which every request
+// retryBudget limits this box's retries for each service. It keeps a token bucket per service that every request
 // fills and every retry drains. It is safe for concurrent use.
 //
-// It differs from routing.RetryBudget of `ospreymoor serve`: the limits hold for the whole fleet and
-// for each service, so the box takes its share of them, and nothing fills a bucket while there are no
-// requests. There, the limit holds for one box over all services, and a few retries a second are always
-// allowed.
+// It differs from routing.RetryBudget of `ospreymoor serve`. Here the limits hold for the whole fleet and for each
+// service, so the box takes its share of them, and a bucket is filled by requests alone. There, the limit holds
+// for one box over all services, and a few retries per second are always allowed.
 type retryBudget struct {
 	limits RetryLimits
-	// boxes is the largest number of boxes that was ever known to share the budget: one that is not
+	// boxes returns the largest number of boxes that were ever known to share the budget. A box that cannot be
 	// reached still spends its share.
 	boxes func() int
 
 	mu sync.Mutex
-	// tokens are the retries left, by service. A service without requests has none.
+	// tokens holds the retries left, by service. A service without requests has no bucket.
 	tokens map[string]float64
 }
 
@@ -36,15 +35,15 @@
 	return &retryBudget{limits: limits, boxes: boxes, tokens: map[string]float64{}}
 }
 
-// burst is the most retries that can be saved up: the box's share of the slack, and at least one,
-// since less would never allow any.
+// burst returns the capacity of a bucket: the box's share of the slack, but at least one, since a smaller bucket
+// would never allow a retry.
 func (b *retryBudget) burst() float64 {
 	return max(1, budgetShare*b.limits.Slack/float64(max(1, b.boxes())))
 }
 
-// noteRequest adds the share of a retry that a request allows. The bucket of a service is full at
-// its first request.
-func (b *retryBudget) noteRequest(service string) {
+// addRequest adds the fraction of a retry that one request allows. The bucket of a service is full at its first
+// request.
+func (b *retryBudget) addRequest(service string) {
 	burst := b.burst()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,7 +54,7 @@
 	b.tokens[service] = min(burst, tokens+budgetShare*b.limits.Ratio)
 }
 
-// takeRetry takes one retry, and reports whether there was one left.
+// takeRetry takes one retry from the service's bucket and reports whether one was left.
 func (b *retryBudget) takeRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -7,35 +7,35 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// suitability is how much of what a request needs an upstream has. Each level includes the ones
-// before it.
+// suitability is how much of what a request needs an upstream offers. Each level includes the ones before it.
 type suitability int
 
 const (
-	// unusable upstreams leave, have lapsed or were tried by the request already.
+	// unusable upstreams are leaving, have lapsed or were already tried by the request.
 	unusable suitability = iota
-	// elsewhere are upstreams in a region where the request may not be served.
-	elsewhere
+	// outsideRegions upstreams are in a region where the request may not be served.
+	outsideRegions
 	// evacuated upstreams are in a hall that gets nothing new until its evacuation ends.
 	evacuated
 	lacksModel
 	lacksAdapter
-	// unreachable upstreams have all that is needed, but took no connection or turned such a
-	// request down a moment ago.
+	// unreachable upstreams hold all that is needed, but a moment ago they accepted no connection or rejected such
+	// a request.
 	unreachable
-	// resting upstreams have all that is needed, and asked this box for rest, or are cold or limited and may get no more now.
-	resting
+	// deferred upstreams hold all that is needed, but may not get the request now: they asked this box for a
+	// backoff, or are cold or rate-limited and may get no more requests for a moment.
+	deferred
 	suitable
 )
 
-// candidates returns the upstreams of the service that may get the request now. If there is none,
-// lacking is what the one that comes closest lacks.
+// candidates returns the upstreams of the service that may get the request now. If there are none, lacking says
+// what the most suitable upstream lacks.
 //
-// It reads the directory as this box has it: the platform's list, the reports of the order holder and
-// what upstreams answered lately. A miss of that knowledge costs an attempt that is not executed.
+// It reads this box's directory: the platform's list, the order holder's reports and what upstreams answered
+// lately. Where that is out of date, an attempt is sent that its upstream does not execute.
 func (r *inflight) candidates() (list []*fleet.State, lacking reason) {
 	now := time.Now()
-	r.rests = rests{}
+	r.deferredUpstreams = deferredUpstreams{}
 	var holders []*fleet.State
 	if r.need.Model != "" {
 		holders = r.gateway.Directory.Holders(r.service, r.need.Model)
@@ -49,19 +49,20 @@
 		switch found {
 		case suitable:
 			list = append(list, state)
-		case resting:
-			continue // better counts them.
+		case deferred:
+			continue // bestLevel counts them.
 		}
 		best = max(best, found)
 	}
 	if best < lacksModel && r.need.Model != "" {
-		best = max(best, r.bestWithout(now))
+		best = max(best, r.bestLackingModel(now))
 	}
-	return list, r.lacking(r.rests.better(best))
+	return list, r.lackingReason(r.deferredUpstreams.bestLevel(best))
 }
 
-// bestWithout is how suitable the best engine is, of which those that hold the model are no better than it.
-func (r *inflight) bestWithout(now time.Time) suitability {
+// bestLackingModel returns the suitability of the best engine among those that do not hold the model. candidates
+// calls it when the engines that hold the model are no more suitable than these can be.
+func (r *inflight) bestLackingModel(now time.Time) suitability {
 	best := unusable
 	for _, state := range r.gateway.Directory.OfService(r.service) {
 		if state.Holds(r.need.Model) {
@@ -74,47 +75,52 @@
 	return best
 }
 
-// rests are the upstreams that have all that a request needs and asked this box for rest.
-type rests struct {
-	upstreams []string
-	// cold and limited count those of them that get no more for a moment, as they are cold or name a limit.
+// deferredUpstreams are the upstreams that hold all that a request needs but may not get it now: they asked this
+// box for a backoff, or are cold or rate-limited.
+type deferredUpstreams struct {
+	ids []string
+	// cold and limited count those that may get no more requests for a moment because they are cold or announce a
+	// rate limit. The others asked for a backoff.
 	cold, limited int
-	// soonest is when the first of them may be sent requests again; it may have passed where one takes few at a time.
-	soonest time.Time
+	// earliestEnd is when the first of them may get requests again. It may be in the past for an upstream that
+	// takes only a few requests at a time after its backoff.
+	earliestEnd time.Time
 }
 
-func (l *rests) add(upstream string, until time.Time) {
-	if len(l.upstreams) == 0 || until.Before(l.soonest) {
-		l.soonest = until
+func (d *deferredUpstreams) add(upstream string, until time.Time) {
+	if len(d.ids) == 0 || until.Before(d.earliestEnd) {
+		d.earliestEnd = until
 	}
-	l.upstreams = append(l.upstreams, upstream)
+	d.ids = append(d.ids, upstream)
 }
 
-// countBound counts an upstream that gets no more for a moment.
-func (l *rests) countBound(bound fleet.RateBound) {
+// countRateBound counts an upstream that may get no more requests for a moment.
+func (d *deferredUpstreams) countRateBound(bound fleet.RateBound) {
 	if bound.Cold {
-		l.cold++
+		d.cold++
 		return
 	}
-	l.limited++
+	d.limited++
 }
 
-// better is how suitable the best upstream is, with those that rest. One that lacks an adapter alone goes before them: its load takes some
-// 10 ms, a rest seconds. Five of 18 engines that rested left 8 requests in 6 s without an adapter that others could have loaded.
-func (l *rests) better(best suitability) suitability {
-	if len(l.upstreams) == 0 || best == lacksAdapter {
+// bestLevel returns the suitability of the best upstream, given best among those that are not deferred. An
+// upstream that lacks only an adapter is preferred to a deferred one: loading the adapter takes some 10 ms, a
+// backoff seconds. When 5 of 18 engines asked for a backoff, the opposite order left 8 requests in 6 s without an
+// adapter that other engines could have loaded.
+func (d *deferredUpstreams) bestLevel(best suitability) suitability {
+	if len(d.ids) == 0 || best == lacksAdapter {
 		return best
 	}
-	return max(best, resting)
+	return max(best, deferred)
 }
 
-// suitability is that of one upstream; one that rests is added to rests.
+// suitability returns the suitability of one upstream, and adds one that is deferred to deferredUpstreams.
 func (r *inflight) suitability(state *fleet.State, now time.Time) suitability {
 	switch {
 	case !state.Usable(now), slices.Contains(r.attempts.upstreams, state.ID):
 		return unusable
 	case !r.mayServe(state.Hall):
-		return elsewhere
+		return outsideRegions
 	case state.Evacuated:
 		return evacuated
 	case r.need.Model != "" && !state.Holds(r.need.Model):
@@ -124,30 +130,30 @@
 	case r.gateway.Directory.Unavailable(state.ID, r.need.Model, r.need.Adapter):
 		return unreachable
 	}
-	if until, isResting := r.gateway.Directory.Resting(state.ID); isResting {
-		r.rests.add(state.ID, until)
-		return resting
+	if until, inBackoff := r.gateway.Directory.Resting(state.ID); inBackoff {
+		r.deferredUpstreams.add(state.ID, until)
+		return deferred
 	}
 	if bound, until := r.rateBound(state.ID, now); !until.IsZero() {
-		r.rests.add(state.ID, until)
-		r.rests.countBound(bound)
-		return resting
+		r.deferredUpstreams.add(state.ID, until)
+		r.deferredUpstreams.countRateBound(bound)
+		return deferred
 	}
 	return suitable
 }
 
-// lacking names what the service lacks by its best upstream; empty if that is a candidate.
-func (r *inflight) lacking(best suitability) reason {
+// lackingReason returns the reason for what the best upstream lacks; empty if that upstream is a candidate.
+func (r *inflight) lackingReason(best suitability) reason {
 	switch {
 	case best == suitable:
 		return ""
-	case best == resting && r.rests.cold == len(r.rests.upstreams):
+	case best == deferred && r.deferredUpstreams.cold == len(r.deferredUpstreams.ids):
 		return reasonCold
-	case best == resting && r.rests.limited == len(r.rests.upstreams):
+	case best == deferred && r.deferredUpstreams.limited == len(r.deferredUpstreams.ids):
 		return reasonLimited
-	case best == resting:
-		return reasonResting
-	case best == elsewhere:
+	case best == deferred:
+		return reasonBackoff
+	case best == outsideRegions:
 		return reasonRegion
 	case best == evacuated:
 		return reasonEvacuated
--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -24,7 +24,7 @@
 		return &inflight{gateway: &Gateway{Directory: directory}, service: "s", need: need}
 	}
 
-	DescribeTable("are the upstreams that hold all it needs, or there is none and the best one shows what is lacking",
+	DescribeTable("are the upstreams that hold all it needs; if there are none, the best one gives the reason",
 		func(want reason, upstreams ...fleet.Upstream) {
 			list, lacking := request(upstreams...).candidates()
 			Expect(lacking).To(Equal(want))
@@ -37,7 +37,7 @@
 		Entry("one with both", reason(""), leaving, empty, model, both),
 	)
 
-	It("leave out upstreams that were tried or turned such a request down a moment ago", func() {
+	It("leave out upstreams that were tried or rejected such a request a moment ago", func() {
 		spectest.Bubble(func() {
 			r := request(both)
 			r.gateway.Directory.MarkMissing("both", "m", "a")
@@ -50,7 +50,7 @@
 		})
 	})
 
-	It("of a plain service need hold no model", func() {
+	It("of a plain service need not hold a model", func() {
 		spectest.Bubble(func() {
 			r := request(empty)
 			r.need = dispatch.Requirements{Service: "s"}
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -10,36 +10,37 @@
 	"ospreymoor.example/ospreymoor/pkg/pause"
 )
 
-// pick returns the upstream of the next attempt: the best of the candidates, if it answers soon
-// enough. One under which upstreams crash gets none. A request that has the time waits while all of them are crowded with prompts. While there is
-// no candidate, it has what is lacking provided, for as long as the request may wait.
+// pick returns the upstream for the next attempt: the best candidate, if it is expected to answer soon enough.
+// While all candidates are busy reading prompts, a request that has the time waits. While there is no candidate,
+// pick has what is lacking provided, for as long as the request may wait. It returns the refusal of a request
+// under which upstreams crash.
 func (r *inflight) pick(ctx context.Context) (dispatch.Choice, *refusal) {
 	for {
-		if refused := r.held(); refused != nil {
+		if refused := r.quarantined(); refused != nil {
 			return dispatch.Choice{}, refused
 		}
 		candidates, lacking := r.candidates()
 		if choice, wait, ok := r.choose(ctx, candidates); ok {
-			r.chosen = choice
-			if wait > 0 && r.mayPace(choice) {
+			r.lastChoice = choice
+			if wait > 0 && r.mayDelay(choice) {
 				if err := pause.For(ctx, wait); err != nil {
-					return dispatch.Choice{}, r.ended(ctx)
+					return dispatch.Choice{}, r.contextRefusal(ctx)
 				}
 				continue
 			}
 			refused := r.admit(choice)
 			if refused != nil {
-				r.noteTurnedAway(choice.Uncached)
+				r.reportUnservedDemand(choice.Uncached)
 				return choice, refused
 			}
-			if !r.permitted(ctx, choice) || !r.begin(choice) {
+			if !r.acquireRateGrant(ctx, choice) || !r.beginSend(choice) {
 				if ctx.Err() != nil {
-					return dispatch.Choice{}, r.ended(ctx)
+					return dispatch.Choice{}, r.contextRefusal(ctx)
 				}
 				continue
 			}
 			if wait > 0 {
-				r.reserveAnyway(ctx, choice)
+				r.reserveOverCapacity(ctx, choice)
 			}
 			return choice, nil
 		}
@@ -48,31 +49,34 @@
 			return dispatch.Choice{}, refused
 		}
 		if err := pause.For(ctx, wait); err != nil {
-			return dispatch.Choice{}, r.ended(ctx)
+			return dispatch.Choice{}, r.contextRefusal(ctx)
 		}
 	}
 }
 
-// begin begins a sending to the chosen upstream. It is false if an answer told meanwhile that it leaves, or wants rest: the choice may have
-// waited for another box.
-func (r *inflight) begin(choice dispatch.Choice) bool {
-	if !r.takeGrant(choice.Upstream.ID) {
+// beginSend begins sending to the chosen upstream. It returns false if the upstream may not get the request any
+// more: choosing may have waited for another box, and meanwhile an answer may have given notice that the upstream
+// leaves or wants a backoff.
+func (r *inflight) beginSend(choice dispatch.Choice) bool {
+	if !r.useRateGrant(choice.Upstream.ID) {
 		return false
 	}
 	endpoint, err := r.gateway.Directory.Begin(choice.Upstream.Upstream)
 	if err != nil {
-		// It needs no line: what was told has one, and the next choice leaves the upstream out.
+		// The error is not logged: the notice was logged, and the next choice leaves the upstream out.
 		return false
 	}
 	r.endpoint = endpoint
 	return true
 }
 
-// maxReservations is how many engines a request asks time of before it waits: each costs a call to another box.
+// maxReservations is the number of engines at which a request tries to reserve time before it waits. Each try
+// costs a call to another box.
 const maxReservations = 5
 
-// choose chooses among the candidates, and reserves time at the chosen engine to read the prompt. If the engine has none,
-// it chooses among the others. wait is after how long to look again if none has; the choice is then the best of all.
+// choose selects the best candidate and reserves time there to read the prompt. If that engine has no time, it
+// tries the other candidates. If none has time, it returns the best of all, and wait is the time until another try
+// is worthwhile.
 func (r *inflight) choose(ctx context.Context, candidates []*fleet.State) (choice dispatch.Choice, wait time.Duration, ok bool) {
 	best, ok := r.gateway.Chooser.Choose(r.need, candidates)
 	if !ok {
@@ -84,7 +88,7 @@
 		if free {
 			return next, 0, true
 		}
-		wait = soonest(wait, retry)
+		wait = shorterWait(wait, retry)
 		candidates = slices.DeleteFunc(candidates, func(state *fleet.State) bool { return state.ID == next.Upstream.ID })
 		next, ok = r.gateway.Chooser.Choose(r.need, candidates)
 		if !ok || next.PausesStreams(r.need) && !best.PausesStreams(r.need) {
@@ -94,44 +98,44 @@
 	return best, wait, true
 }
 
-// soonest is the shorter of two waits, of which 0 is none yet.
-func soonest(a, b time.Duration) time.Duration {
+// shorterWait returns the shorter of two waits, of which 0 means none.
+func shorterWait(a, b time.Duration) time.Duration {
 	if a == 0 {
 		return b
 	}
 	return min(a, b)
 }
 
-// reserve reserves time to read the request's prompt at the chosen engine. Where that is not worth it, or nobody can be asked, it
-// goes by the loads that boxes reported. retry is after how long there probably is time.
+// reserve reserves time at the chosen engine to read the request's prompt. If a reservation is not worthwhile or
+// cannot be made, it decides by the reported loads. retry is the time until the engine probably has time.
 func (r *inflight) reserve(ctx context.Context, choice dispatch.Choice) (free bool, retry time.Duration) {
 	asked, worthIt := choice.Reservation(r.need)
 	if !worthIt || r.gateway.Reserve == nil || r.attempts.mayHaveRun > 0 {
-		return r.uncrowded(choice)
+		return r.hasPromptCapacity(choice)
 	}
 	answer, err := r.gateway.Reserve(ctx, asked)
 	switch {
 	case err != nil:
-		// It needs no line: whoever asks the keeper logs when it loses and regains it.
-		return r.uncrowded(choice)
+		// The error is not logged: the caller of the keeper logs when it loses and regains it.
+		return r.hasPromptCapacity(choice)
 	case answer.Taken:
 		return true, 0
 	}
-	return false, max(pacePause, min(longestPacePause, answer.Wait))
+	return false, max(capacityPollInterval, min(maxCapacityWait, answer.Wait))
 }
 
-// uncrowded reports whether the chosen engine has time by the loads that boxes reported, and else after how long to look
-// again.
-func (r *inflight) uncrowded(choice dispatch.Choice) (free bool, retry time.Duration) {
+// hasPromptCapacity reports whether the chosen engine has time to read the prompt, judged by the reported loads.
+// If not, retry is the time until another look.
+func (r *inflight) hasPromptCapacity(choice dispatch.Choice) (free bool, retry time.Duration) {
 	if choice.Crowded(r.need) {
-		return false, pacePause
+		return false, capacityPollInterval
 	}
 	return true, 0
 }
 
-// reserveAnyway reserves time at an engine that has none, because the request can't wait any longer, so that others know of
-// it. Nobody waits for the answer.
-func (r *inflight) reserveAnyway(ctx context.Context, choice dispatch.Choice) {
+// reserveOverCapacity reserves time at an engine that has none left, because the request cannot wait any longer,
+// so that other boxes know of this load. It does not wait for the answer.
+func (r *inflight) reserveOverCapacity(ctx context.Context, choice dispatch.Choice) {
 	asked, worthIt := choice.Reservation(r.need)
 	if !worthIt || r.gateway.Reserve == nil {
 		return
@@ -141,21 +145,22 @@
 }
 
 const (
-	// pacePause is the pause before another look at engines that have prompts enough to read.
-	pacePause = 10 * time.Millisecond
-	// longestPacePause bounds the pause where engines say when they have time: others may give it up before.
-	longestPacePause = 100 * time.Millisecond
-	// paceShare is the part of the route's target up to which a request is held back for that.
-	paceShare = 0.6
+	// capacityPollInterval is the pause before another look at engines that have enough prompts to read.
+	capacityPollInterval = 10 * time.Millisecond
+	// maxCapacityWait limits the pause where engines state when they have time, since others may give up reserved
+	// time earlier.
+	maxCapacityWait = 100 * time.Millisecond
+	// delayShare is the share of the route's target up to which a request is delayed in this way.
+	delayShare = 0.6
 )
 
-// mayPace reports whether the request has time to wait until the engine has read other prompts: read
-// together they delay the events of all streams there beyond their target, and each such stream loses most
-// of its worth. One answer in ten was late by a pause alone.
-func (r *inflight) mayPace(choice dispatch.Choice) bool {
+// mayDelay reports whether the request has time to wait until the engine has read other prompts. Prompts that are
+// read together delay the events of all streams at the engine beyond their target, and each such stream loses most
+// of its value. One answer in ten was late because of such a pause alone.
+func (r *inflight) mayDelay(choice dispatch.Choice) bool {
 	if r.attempts.mayHaveRun > 0 {
 		return false
 	}
 	due := time.Since(r.request.Arrived) + choice.Wait
-	return due < time.Duration(paceShare*float64(r.route.Target))
+	return due < time.Duration(delayShare*float64(r.route.Target))
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -13,34 +13,36 @@
 	"ospreymoor.example/ospreymoor/pkg/quarantine"
 )
 
-// This file finds out whether an upstream crashed under a request. A broken answer alone does not tell: connections are reset,
-// halls cut off and answers spoiled while the upstream lives. It crashed if its address refuses connections just after.
+// This file determines whether an upstream crashed under a request. A broken answer alone does not show that:
+// connections are reset, halls are cut off and answers are corrupted while the upstream is alive. It counts as
+// crashed if its address refuses connections right afterwards.
 
 const (
-	// crashCheckTimeout bounds one look at an upstream: its host refuses a connection within one round trip. A host that is
-	// silent, as behind a cut, does not show whether the upstream crashed. Thirty round trips between halls.
+	// crashCheckTimeout limits one check of an upstream. A host whose process is gone refuses a connection within
+	// one round trip; the limit is thirty round trips between halls. A host that stays silent, as behind a network
+	// partition, does not show whether the upstream crashed.
 	crashCheckTimeout = 100 * time.Millisecond
-	// crashCheckTTL is for how long what was found counts: all answers of an upstream that crashes break within some
-	// milliseconds, and its process needs seconds to come back.
+	// crashCheckTTL is how long the result of a check is valid. All answers of an upstream that crashes break
+	// within some milliseconds, and its process needs seconds to restart.
 	crashCheckTTL = 500 * time.Millisecond
 )
 
-// crashChecks looks at upstreams whose answers broke, once for all requests that broke together. It is safe for
-// concurrent use.
+// crashChecks checks upstreams whose answers broke off, once for all requests that broke at the same time. It is
+// safe for concurrent use.
 type crashChecks struct {
 	mu     sync.Mutex
 	latest map[string]*crashCheck
 }
 
-// crashCheck is one look at an upstream.
+// crashCheck is one check of an upstream.
 type crashCheck struct {
 	begun time.Time
-	// done is closed once crashed is known.
+	// done is closed once crashed is set.
 	done    chan struct{}
 	crashed bool
 }
 
-// begin returns the latest look at an upstream, and whether it is a new one, which the caller must end.
+// begin returns the latest check of an upstream. If isNew is set, the caller must run the check.
 func (c *crashChecks) begin(upstream string, now time.Time) (check *crashCheck, isNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,15 +62,15 @@
 	return check, true
 }
 
-// crashed reports whether an upstream whose answer just broke has crashed, and when it was looked at first. Nobody looks for a
-// request whose ctx has ended.
-func (g *Gateway) crashed(ctx context.Context, upstream fleet.Upstream) (at time.Time, crashed bool) {
+// hasCrashed reports whether an upstream whose answer just broke off has crashed, and when its check began. It
+// returns false without a check if ctx has ended.
+func (g *Gateway) hasCrashed(ctx context.Context, upstream fleet.Upstream) (at time.Time, crashed bool) {
 	if g.Upstreams.Refuses == nil || ctx.Err() != nil {
 		return time.Time{}, false
 	}
 	check, isNew := g.crashChecks.begin(upstream.ID, time.Now())
 	if isNew {
-		g.look(ctx, upstream, check)
+		g.runCrashCheck(ctx, upstream, check)
 	}
 	select {
 	case <-check.done:
@@ -78,8 +80,9 @@
 	}
 }
 
-// look ends a new look at an upstream. It outlasts the request that began it, since others wait for it.
-func (g *Gateway) look(ctx context.Context, upstream fleet.Upstream, check *crashCheck) {
+// runCrashCheck runs a new check of an upstream. The check outlasts the request that began it, since other
+// requests wait for its result.
+func (g *Gateway) runCrashCheck(ctx context.Context, upstream fleet.Upstream, check *crashCheck) {
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashCheckTimeout)
 	defer cancel()
 	check.crashed = g.Upstreams.Refuses(bounded, upstream)
@@ -94,20 +97,20 @@
 	}
 }
 
-// knownCrashes is what a box knows of upstreams that crashed under a request under way.
-type knownCrashes struct {
-	// content names the request by what it asks; nil until that is needed.
-	content *quarantine.Fingerprint
-	// verdict is the latest on it.
+// crashHistory is what this box knows of upstreams that crashed under a request in flight.
+type crashHistory struct {
+	// fingerprint identifies the request by its content; nil until it is needed.
+	fingerprint *quarantine.Fingerprint
+	// verdict is the latest verdict on the request.
 	verdict quarantine.Verdict
 }
 
-// broke records an attempt whose answer broke off. Where its caller left or its time was over meanwhile, that shows nothing of
-// the upstream's end.
-func (r *inflight) broke(ctx context.Context, choice dispatch.Choice, status int, took time.Duration, err error) {
+// recordBroken records an attempt whose answer broke off. If the caller left or the deadline passed meanwhile, the
+// upstream is not checked for a crash.
+func (r *inflight) recordBroken(ctx context.Context, choice dispatch.Choice, status int, took time.Duration, err error) {
 	r.gateway.Loads.RecordOutcome(choice.Upstream.ID, false)
 	var found []zap.Field
-	if at, crashed := r.gateway.crashed(ctx, *choice.Upstream.Upstream); crashed {
+	if at, crashed := r.gateway.hasCrashed(ctx, *choice.Upstream.Upstream); crashed {
 		r.gateway.Quarantine.NoteCrash(r.fingerprint(), choice.Upstream.ID, at)
 		r.gateway.Metrics.GetOrCreateCounter("ospreymoor_requests_crashed_under_total").Inc()
 		found = []zap.Field{zap.Bool("crashed", true), zap.Stringer("content", r.fingerprint())}
@@ -115,55 +118,59 @@
 	r.logAttempt(choice, status, took, err, found...)
 }
 
-// held returns the refusal of a request under which upstreams crash, one after the other; nil if it may be sent. It is asked ahead
-// of each attempt and after each wait, since all boxes tell of crashes meanwhile. Nothing else is done for the request: it would
-// take one more upstream along with all that runs there, 10 to 20 other requests each time on a day on which 37 went so.
-func (r *inflight) held() *refusal {
+// quarantined returns the refusal of a request that is held by quarantine because several upstreams in a row
+// crashed under it, or nil if the request may be sent. It is called before each attempt and after each wait, since
+// all boxes report crashes meanwhile. Nothing else is tried for such a request: it would crash one more upstream,
+// with the 10 to 20 other requests that run there. On one day, 37 upstreams were lost in this way.
+func (r *inflight) quarantined() *refusal {
 	if r.gateway.Quarantine.Empty() {
 		return nil
 	}
-	r.known.verdict = r.gateway.Quarantine.Verdict(r.fingerprint())
-	if !r.known.verdict.Held {
+	r.crashHistory.verdict = r.gateway.Quarantine.Verdict(r.fingerprint())
+	if !r.crashHistory.verdict.Held {
 		return nil
 	}
-	return r.unserved(reasonCrashes, r.known.verdict.RetryAfter)
+	return r.refusalFor(reasonCrashes, r.crashHistory.verdict.RetryAfter)
 }
 
-// answered notes that an upstream answered the request whole, whatever the status, so that it does not crash under it.
-func (r *inflight) answered() {
+// noteAnswered records that an upstream answered the request completely, whatever the status. The request then
+// does not count as crashing upstreams.
+func (r *inflight) noteAnswered() {
 	if !r.gateway.Quarantine.Empty() {
 		r.gateway.Quarantine.NoteAnswered(r.fingerprint())
 	}
 }
 
-// fingerprint names the request by its content.
+// fingerprint returns the request's fingerprint, which identifies it by its content.
 func (r *inflight) fingerprint() quarantine.Fingerprint {
-	if r.known.content == nil {
-		asked := quarantine.Content{
+	if r.crashHistory.fingerprint == nil {
+		content := quarantine.Content{
 			Customer: r.customerName(), Method: r.request.Method, Host: r.request.Host, URI: r.request.URI, Body: r.request.Body,
 		}
-		content := asked.Fingerprint()
-		r.known.content = &content
+		fingerprint := content.Fingerprint()
+		r.crashHistory.fingerprint = &fingerprint
 	}
-	return *r.known.content
+	return *r.crashHistory.fingerprint
 }
 
-// quarantineField is what this box knew of the request's crashes when it last asked; nothing if there were none.
+// quarantineField returns the log field with what this box last knew of the request's crashes; nothing if there
+// were none.
 func (r *inflight) quarantineField() zap.Field {
-	if r.known.verdict.Crashes == 0 {
+	if r.crashHistory.verdict.Crashes == 0 {
 		return zap.Skip()
 	}
-	return zap.Inline(r.known)
+	return zap.Inline(r.crashHistory)
 }
 
-// MarshalLogObject writes the request's content, under which upstreams it crashed, and how old that knowledge was.
-func (k knownCrashes) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
-	encoder.AddString("content", k.content.String())
-	encoder.AddBool("held", k.verdict.Held)
-	encoder.AddInt("crashes", k.verdict.Crashes)
-	zap.Strings("crashedUpstreams", k.verdict.Upstreams).AddTo(encoder)
-	encoder.AddDuration("crashAge", k.verdict.Age)
-	encoder.AddDuration("knownFor", k.verdict.KnownFor)
-	encoder.AddString("source", string(k.verdict.Source))
+// MarshalLogObject writes the request's fingerprint, the upstreams that crashed under it, and how old that
+// knowledge is.
+func (h crashHistory) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
+	encoder.AddString("content", h.fingerprint.String())
+	encoder.AddBool("held", h.verdict.Held)
+	encoder.AddInt("crashes", h.verdict.Crashes)
+	zap.Strings("crashedUpstreams", h.verdict.Upstreams).AddTo(encoder)
+	encoder.AddDuration("crashAge", h.verdict.Age)
+	encoder.AddDuration("knownFor", h.verdict.KnownFor)
+	encoder.AddString("source", string(h.verdict.Source))
 	return nil
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -18,7 +18,7 @@
 )
 
 var _ = Describe("an attempt whose answer broke", func() {
-	// contents are what the lines of attempts have that their upstreams crashed under.
+	// contents returns the logged content fingerprints of attempts under which upstreams crashed.
 	contents := func(f *fixture, ids ...string) []any {
 		core, lines := observer.New(zap.InfoLevel)
 		f.Log = zap.New(core)
@@ -34,40 +34,40 @@
 		return list
 	}
 
-	It("has the request's content in its line if the upstream crashed, the same under another id", func() {
+	It("is logged with the request's content fingerprint if the upstream crashed, the same one under another request id", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return crashes }, 1)
+			f := newFixture(func(string, int) behavior { return crashes }, 1)
 			list := contents(f, "r1", "r2")
 			Expect(list).To(HaveLen(2))
 			Expect(list[0]).To(And(HaveLen(16), Equal(list[1])))
 		})
 	})
 
-	It("does not if the upstream lives", func() {
+	It("is logged without the fingerprint if the upstream is alive", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return brokenBody }, 1)
+			f := newFixture(func(string, int) behavior { return brokenBody }, 1)
 			Expect(contents(f, "r1")).To(BeEmpty())
-			Expect(f.upstreams.looks).To(Equal(1))
+			Expect(f.upstreams.crashChecks).To(Equal(1))
 		})
 	})
 
-	It("has its upstream looked at once for all that broke together", func() {
+	It("has its upstream checked once for all answers that broke at the same time", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return crashes }, 1)
+			f := newFixture(func(string, int) behavior { return crashes }, 1)
 			var asking sync.WaitGroup
 			for n := range 20 {
 				asking.Go(func() { f.ask(context.Background(), fmt.Sprint(n), fmt.Sprint("/once/", n), "") })
 			}
 			asking.Wait()
-			Expect(f.upstreams.looks).To(Equal(len(f.upstreams.gone)))
+			Expect(f.upstreams.crashChecks).To(Equal(len(f.upstreams.crashed)))
 		})
 	})
 })
 
 var _ = Describe("a request under which upstreams crash one after the other", func() {
-	It("is refused at once with the time until it may come again, and reaches none", func() {
+	It("is refused at once with a Retry-After, and reaches no upstream", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return crashes }, 1)
+			f := newFixture(func(string, int) behavior { return crashes }, 1)
 			core, lines := observer.New(zap.InfoLevel)
 			f.Log = zap.New(core)
 			Expect(f.ask(context.Background(), "r1", "/safe/x", "").Code).To(Equal(http.StatusServiceUnavailable))
@@ -87,15 +87,15 @@
 			Expect(fields["crashedUpstreams"]).To(HaveLen(2))
 			Expect(fields["knownFor"]).To(Equal(time.Second))
 			Expect(fields["source"]).To(Equal("self"))
-			By("while others are served")
-			f.upstreams.choose = func(string, int) fate { return whole }
+			By("while other requests are served")
+			f.upstreams.choose = func(string, int) behavior { return succeeds }
 			Expect(f.ask(context.Background(), "r3", "/safe/y", "").Code).To(Equal(http.StatusOK))
 		})
 	})
 
-	It("is never called not run after it may have run, on a route on which it may run once", func() {
+	It("is never reported as not run after it may have run, on a route that allows one run", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return crashes }, 1)
+			f := newFixture(func(string, int) behavior { return crashes }, 1)
 			for n := range 2 {
 				Expect(f.ask(context.Background(), fmt.Sprint("r", n), "/once/x", "").Code).To(Equal(http.StatusBadGateway))
 				time.Sleep(2 * time.Second)
@@ -105,9 +105,9 @@
 		})
 	})
 
-	It("is held while it waits for an upstream as soon as another box tells of the crashes", func() {
+	It("is refused while it waits for an upstream as soon as another box reports the crashes", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			f.Ensure = func(context.Context, residency.Want) (residency.EnsureResult, error) {
 				return residency.EnsureResult{Ready: 500 * time.Millisecond}, residency.ErrNoPlace
 			}
@@ -125,30 +125,30 @@
 		})
 	})
 
-	It("has nothing held against it once an upstream has answered it whole", func() {
+	It("is cleared once an upstream has answered it completely", func() {
 		spectest.Bubble(func() {
 			next := crashes
-			f := newFixture(func(string, int) fate { return next }, 1)
+			f := newFixture(func(string, int) behavior { return next }, 1)
 			f.ask(context.Background(), "r0", "/once/x", "")
-			next = whole
+			next = succeeds
 			Expect(f.ask(context.Background(), "r1", "/once/x", "").Code).To(Equal(http.StatusOK))
 			next = crashes
 			time.Sleep(2 * time.Second)
 			f.ask(context.Background(), "r2", "/once/x", "")
-			next = whole
+			next = succeeds
 			Expect(f.ask(context.Background(), "r3", "/once/x", "").Code).To(Equal(http.StatusOK))
 		})
 	})
 
 	It("is not blamed for upstreams that crash when its caller has left", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return hangs }, 1)
+			f := newFixture(func(string, int) behavior { return hangs }, 1)
 			for n := range 3 {
 				ctx, leave := context.WithTimeout(context.Background(), 100*time.Millisecond)
 				f.ask(ctx, fmt.Sprint("r", n), "/safe/x", "")
 				leave()
 			}
-			Expect(f.upstreams.looks).To(BeZero())
+			Expect(f.upstreams.crashChecks).To(BeZero())
 			Expect(f.Quarantine.Empty()).To(BeTrue())
 		})
 	})
--- a/internal/gateway/customer.go
+++ b/internal/gateway/customer.go
@@ -9,17 +9,17 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// Quotas is the port to what customers may spend over all boxes. Its zero value sets no limits.
+// Quotas is the interface to the quotas of customers over all boxes. The zero value sets no limits.
 type Quotas struct {
-	// Take takes a request's cost off its customer's quota in a version of the configuration. It answers within some
-	// tenths of a second at worst.
+	// Take charges a request's cost to its customer's quota, as of a version of the configuration. It answers
+	// within some tenths of a second at worst.
 	Take func(customer *customers.Customer, version int64, cost float64) customers.Verdict
-	// Return gives back the cost of a request that did not run and never will.
+	// Return refunds the cost of a request that did not run and never will.
 	Return func(customer *customers.Customer, version int64, cost float64)
 }
 
-// customerOf returns the customer that a request's key names, or why it names none. A public route asks for no key, and
-// takes one that it can't tell as none.
+// customerOf returns the customer that the request's key identifies, or why it identifies none. A public route
+// needs no key, and treats a key that it cannot identify as no key.
 func customerOf(table *routes.Table, route *routes.Route, request *Request) (*customers.Customer, customers.Rejection) {
 	customer, rejected := table.Customers.Find(request.Credential)
 	if route.Public {
@@ -28,7 +28,7 @@
 	return customer, rejected
 }
 
-// customerName is the name of the request's customer; empty if it has none.
+// customerName returns the name of the request's customer; empty if it has none.
 func (r *inflight) customerName() string {
 	if r.customer == nil {
 		return ""
@@ -36,9 +36,9 @@
 	return r.customer.Name
 }
 
-// spend takes the request's cost off its customer's quota, before anything else is done for it. It returns the refusal
-// of a request that is over the quota.
-func (r *inflight) spend(version int64) *refusal {
+// chargeQuota charges the request's cost to its customer's quota before any other work for the request. It returns
+// a refusal if the request exceeds the quota, and nil otherwise.
+func (r *inflight) chargeQuota(version int64) *refusal {
 	if r.customer == nil || !r.customer.Limit.Limited() || r.gateway.Quotas.Take == nil {
 		return nil
 	}
@@ -50,27 +50,27 @@
 	return overQuota(r.quota)
 }
 
-// cost is what the request counts against its customer's limit.
+// cost returns the request's cost, in the unit of its customer's limit.
 func (r *inflight) cost() float64 {
 	return r.customer.Limit.Cost(r.request.PromptTokens, r.request.AnswerTokens)
 }
 
-// returnCost gives back the cost of a request that no upstream ran. It is kept where that is not sure: the caller left
-// during an attempt, or an attempt may have run.
-func (r *inflight) returnCost(version int64) {
+// refundQuota refunds the cost of a request that no upstream ran. It does not where that is uncertain: the caller
+// left during an attempt, or an attempt may have run.
+func (r *inflight) refundQuota(version int64) {
 	if r.quota.Granted && r.attempts.mayHaveRun == 0 && r.attempts.abandoned == 0 {
 		r.gateway.Quotas.Return(r.customer, version, r.cost())
 	}
 }
 
-// maxCustomerNames bounds the customers that metrics name; the others are counted together. Names come from the
-// configuration alone, and hundreds are planned for.
+// maxCustomerNames is the number of customers that get a metric label of their own; the others are counted
+// together. Names come from the configuration alone, where hundreds of customers are expected.
 const maxCustomerNames = 500
 
-// otherCustomers is the name of those beyond.
+// otherCustomers is the metric label for customers beyond maxCustomerNames.
 const otherCustomers = "others"
 
-// countCustomer counts a request of a customer with a limit.
+// countCustomer counts a request of a customer that has a limit.
 func (g *Gateway) countCustomer(name string, granted bool) {
 	if _, named := g.customerNames.Load(name); !named {
 		if g.customerCount.Add(1) > maxCustomerNames {
@@ -82,7 +82,8 @@
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_quota_requests_total{customer=%q,granted=\"%t\"}", name, granted)).Inc()
 }
 
-// quotaField is the log field of a verdict: the account that decided, what it held and when it was asked.
+// quotaField is the log field of a quota verdict: which account decided, its level and share, and how old that
+// knowledge is.
 type quotaField customers.Verdict
 
 // MarshalLogObject writes nothing for a request without a limit.
--- a/internal/gateway/customer_test.go
+++ b/internal/gateway/customer_test.go
@@ -19,8 +19,8 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// customersFixture is a gateway whose configuration has customers, one of them with a limit in tokens.
-func customersFixture(choose func(id string, n int) fate) *fixture {
+// customersFixture returns a gateway whose configuration has two customers, one of them with a limit in tokens.
+func customersFixture(choose func(id string, n int) behavior) *fixture {
 	f := newFixture(choose, 1)
 	urgent := 0
 	limit := customers.Limit{Unit: customers.Tokens, PerSecond: 1000, Burst: 1000, PlainTokens: 20}
@@ -59,9 +59,9 @@
 }
 
 var _ = Describe("a request's customer", func() {
-	DescribeTable("is named by its key",
+	DescribeTable("is identified by its key",
 		func(path string, status int, body, customer string, authorization ...string) {
-			f := customersFixture(func(string, int) fate { return whole })
+			f := customersFixture(func(string, int) behavior { return succeeds })
 			got := f.askWith(context.Background(), "r", path, "", authorization...)
 			Expect(got.Code).To(Equal(status))
 			Expect(got.Body.String()).To(HavePrefix(body))
@@ -85,22 +85,22 @@
 		Entry("a public route with a key that nobody has", "/open/x", 200, plainBody, "", "Bearer k3"),
 	)
 
-	It("is not asked for where no route is there, and not before there is a configuration", func() {
-		f := customersFixture(func(string, int) fate { return whole })
+	It("is not required where no route matches, nor before there is a configuration", func() {
+		f := customersFixture(func(string, int) behavior { return succeeds })
 		Expect(f.askWith(context.Background(), "r1", "/nowhere/", "").Code).To(Equal(http.StatusNotFound))
 		f.table.Store(nil)
 		Expect(f.askWith(context.Background(), "r2", "/once/x", "", "Bearer k3").Code).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("brings its urgency, before the route's", func() {
-		f := customersFixture(func(string, int) fate { return whole })
+	It("sets the urgency, which overrides the route's", func() {
+		f := customersFixture(func(string, int) behavior { return succeeds })
 		f.askWith(context.Background(), "r1", "/once/x", "", "Bearer k1")
 		f.askWith(context.Background(), "r2", "/once/x", "", "Bearer k2")
 		Expect(f.upstreams.urgencies).To(Equal([]int{0, 2}))
 	})
 
-	It("stands in the log without its key", func() {
-		f := customersFixture(func(string, int) fate { return whole })
+	It("is logged without its key", func() {
+		f := customersFixture(func(string, int) behavior { return succeeds })
 		core, lines := observer.New(zapcore.DebugLevel)
 		f.Log = zap.New(core)
 		for _, key := range []string{"Bearer k2", "Bearer very-secret", "very-secret"} {
@@ -117,7 +117,7 @@
 var _ = Describe("a request's cost", func() {
 	// quotas notes what is taken and returned.
 	type quotas struct{ taken, returned []float64 }
-	withQuotas := func(choose func(string, int) fate, verdict customers.Verdict) (*fixture, *quotas) {
+	withQuotas := func(choose func(string, int) behavior, verdict customers.Verdict) (*fixture, *quotas) {
 		f, q := customersFixture(choose), &quotas{}
 		f.Quotas = Quotas{
 			Take: func(customer *customers.Customer, _ int64, cost float64) customers.Verdict {
@@ -131,12 +131,12 @@
 	}
 	granted := customers.Verdict{Granted: true, Scope: customers.FleetScope}
 
-	It("is its tokens, or what a request without tokens counts, once however often it is sent", func() {
-		f, q := withQuotas(func(_ string, n int) fate {
+	It("is its tokens, or the fixed cost of a request without tokens, charged once however often it is sent", func() {
+		f, q := withQuotas(func(_ string, n int) behavior {
 			if n == 1 {
 				return brokenBeforeHead
 			}
-			return whole
+			return succeeds
 		}, granted)
 		f.askWith(context.Background(), "r1", "/stream/x", "m", "Bearer k1")
 		f.askWith(context.Background(), "r2", "/safe/x", "", "Bearer k1")
@@ -146,9 +146,9 @@
 		Expect(q.returned).To(BeEmpty())
 	})
 
-	It("over the quota is refused at once, with the time after which it is not", func() {
+	It("over the quota is refused at once, with a Retry-After", func() {
 		refused := customers.Verdict{RetryAfter: 1500 * time.Millisecond, Scope: customers.FleetScope}
-		f, _ := withQuotas(func(string, int) fate { return whole }, refused)
+		f, _ := withQuotas(func(string, int) behavior { return succeeds }, refused)
 		got := f.askWith(context.Background(), "r", "/stream/x", "m", "Bearer k1")
 		Expect(got.Code).To(Equal(http.StatusTooManyRequests))
 		Expect(got.Header().Get("Retry-After")).To(Equal("1.500"))
@@ -156,34 +156,34 @@
 		Expect(f.upstreams.sends).To(BeEmpty())
 	})
 
-	It("gives no time for a request that is too dear at any time", func() {
-		f, _ := withQuotas(func(string, int) fate { return whole }, customers.Verdict{RetryAfter: customers.Never, Scope: customers.FleetScope})
+	It("has no Retry-After if it is more than the quota ever allows", func() {
+		f, _ := withQuotas(func(string, int) behavior { return succeeds }, customers.Verdict{RetryAfter: customers.Never, Scope: customers.FleetScope})
 		got := f.askWith(context.Background(), "r", "/stream/x", "m", "Bearer k1")
 		Expect(got.Code).To(Equal(http.StatusTooManyRequests))
 		Expect(got.Header()).NotTo(HaveKey("Retry-After"))
 	})
 
-	DescribeTable("is returned only if no upstream can have run it",
-		func(path, model string, end fate, returned bool) {
+	DescribeTable("is refunded only if no upstream can have run the request",
+		func(path, model string, end behavior, returned bool) {
 			spectest.Bubble(func() {
-				f, q := withQuotas(func(string, int) fate { return end }, granted)
+				f, q := withQuotas(func(string, int) behavior { return end }, granted)
 				f.askWith(context.Background(), "r", path, model, "Bearer k1")
 				Expect(q.taken).To(HaveLen(1))
 				Expect(len(q.returned) == 1).To(Equal(returned))
 			})
 		},
-		Entry("answered", "/once/x", "", whole, false),
+		Entry("answered", "/once/x", "", succeeds, false),
 		Entry("not sent", "/once/x", "", notSent, true),
 		Entry("not executed", "/strict/x", "m", refuses, true),
-		Entry("no engine has the model", "/stream/x", "nowhere", whole, true),
+		Entry("no engine has the model", "/stream/x", "nowhere", succeeds, true),
 		Entry("failed", "/once/x", "", fails, false),
 		Entry("broken", "/once/x", "", brokenBeforeHead, false),
 		Entry("no answer by its deadline", "/once/x", "", hangs, false),
 	)
 
-	It("is kept if the caller left during an attempt", func() {
+	It("is not refunded if the caller left during an attempt", func() {
 		spectest.Bubble(func() {
-			f, q := withQuotas(func(string, int) fate { return hangs }, granted)
+			f, q := withQuotas(func(string, int) behavior { return hangs }, granted)
 			ctx, leave := context.WithTimeout(context.Background(), time.Hour)
 			time.AfterFunc(100*time.Millisecond, leave)
 			f.askWith(ctx, "r", "/once/x", "", "Bearer k1")
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -6,30 +6,29 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// noteTurnedAway reports the demand of a request that no engine takes: no engine holds its model, or
-// those that do are full. It counts once for each request; uncached is the number of prompt tokens that
-// an engine would have to read. From the demand the order holder plans which models to load.
-func (r *inflight) noteTurnedAway(uncached int) {
-	if r.demandNoted {
+// reportUnservedDemand reports the demand of a request that no engine takes: none holds its model, or those that do
+// are full or deferred. The order holder plans from the demand which models to load. The request is counted once;
+// uncached is the number of prompt tokens that an engine would have to read.
+func (r *inflight) reportUnservedDemand(uncached int) {
+	if r.unservedDemandReported {
 		return
 	}
-	r.demandNoted = true
-	r.noteDemand(uncached)
+	r.unservedDemandReported = true
+	r.reportDemand(uncached)
 }
 
-// noteDemand reports the engine time that the request will probably take, in milliseconds; uncached
-// is the number of prompt tokens that the engine has to read.
-func (r *inflight) noteDemand(uncached int) {
-	if r.need.Model == "" || r.gateway.NoteDemand == nil {
+// reportDemand reports the engine time that the request will probably take, in milliseconds. uncached is the
+// number of prompt tokens that the engine has to read.
+func (r *inflight) reportDemand(uncached int) {
+	if r.need.Model == "" || r.gateway.RecordDemand == nil {
 		return
 	}
 	work := r.gateway.Loads.Work(r.need, uncached)
 	key := residency.WorkKey{ModelKey: residency.ModelKey{Service: r.service, Model: r.need.Model}, Patient: r.patient()}
-	r.gateway.NoteDemand(map[residency.WorkKey]float64{key: float64(work) / float64(time.Millisecond)})
+	r.gateway.RecordDemand(map[residency.WorkKey]float64{key: float64(work) / float64(time.Millisecond)})
 }
 
-// patient reports whether the request's target leaves time for a load of its model from an engine's own
-// copy.
+// patient reports whether the request's target leaves enough time to load its model from an engine's local copy.
 func (r *inflight) patient() bool {
 	model := r.model
 	if model == nil || model.DiskLoadTime == 0 {
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -14,8 +14,8 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("requests, while halls are evacuated", func() {
-	// inHalls lists the fixture's upstreams anew, the odd ones in hall "h1" and the others in "h0".
+var _ = Describe("requests while halls are evacuated", func() {
+	// inHalls lists the fixture's upstreams again, the odd ones in hall "h1" and the others in "h0".
 	inHalls := func(f *fixture) {
 		var list []fleet.Upstream
 		for n := range 4 {
@@ -32,12 +32,12 @@
 		return map[bool]string{true: "m"}[path == "/stream/x" || path == "/strict/x"]
 	}
 
-	It("never go there: first, again, resumed, kept back", func() {
+	It("never go to an evacuated hall: when first sent, retried, resumed or delayed", func() {
 		spectest.Bubble(func() {
-			fates := 0
-			f := newFixture(func(string, int) fate {
-				fates++
-				return []fate{whole, brokenBody, refuses, fails, notSent, whole}[fates%6]
+			attempts := 0
+			f := newFixture(func(string, int) behavior {
+				attempts++
+				return []behavior{succeeds, brokenBody, refuses, fails, notSent, succeeds}[attempts%6]
 			}, 1)
 			inHalls(f)
 			f.Directory.SetEvacuated(3, map[string]bool{"h1": true})
@@ -47,18 +47,18 @@
 				}
 			}
 			for _, id := range []string{"p1", "p3", "e1", "e3"} {
-				Expect(f.upstreams.times(id)).To(BeZero(), id)
+				Expect(f.upstreams.sendCount(id)).To(BeZero(), id)
 			}
-			Expect(f.upstreams.times("p0")).NotTo(BeZero())
+			Expect(f.upstreams.sendCount("p0")).NotTo(BeZero())
 		})
 	})
 
-	It("go on where they run already", func() {
+	It("continue where they already run", func() {
 		spectest.Bubble(func() {
 			release := make(chan struct{})
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			inHalls(f)
-			f.upstreams.tells = func(string, int) fleet.Notice {
+			f.upstreams.notice = func(string, int) fleet.Notice {
 				<-release
 				return fleet.Notice{}
 			}
@@ -71,9 +71,9 @@
 		})
 	})
 
-	It("are refused at once with the reason and a time to come back, where all halls are", func() {
+	It("are refused at once with the reason and a Retry-After if all halls are evacuated", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			inHalls(f)
 			f.Directory.SetEvacuated(3, map[string]bool{"h0": true, "h1": true})
 			for _, path := range paths {
@@ -86,7 +86,7 @@
 				Expect(err).NotTo(HaveOccurred())
 				Expect(wait).To(BeNumerically(">=", retryWhenEvacuated.Seconds()))
 			}
-			Expect(f.upstreams.on).To(BeEmpty())
+			Expect(f.upstreams.sentTo).To(BeEmpty())
 		})
 	})
 })
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -26,49 +26,49 @@
 
 func TestGateway(t *testing.T) { spectest.Run(t, "Gateway") }
 
-// fate is how one attempt ends at a fake upstream.
-type fate int
+// behavior is how an attempt ends at a fake upstream.
+type behavior int
 
 const (
-	whole fate = iota
+	succeeds behavior = iota
 	notSent
 	refuses
 	brokenBeforeHead
 	brokenBody
 	fails
 	hangs
-	fates
-	// crashes ends the upstream crashTime after it begins.
+	behaviorCount
+	// crashes ends the upstream crashTime after the attempt begins.
 	crashes
 )
 
 const crashTime = 60 * time.Millisecond
 
-// fakeUpstreams notes what ran, and ends attempts as chosen.
+// fakeUpstreams records the attempts that it gets and ends them as choose says.
 type fakeUpstreams struct {
 	mu sync.Mutex
-	// choose picks the fate of an attempt; n counts those of the request.
-	choose func(id string, n int) fate
-	sends  map[string]int
-	runs   map[string]int
-	left   []time.Duration
-	on     []string
+	// choose returns the behavior of an attempt; n counts the attempts of the request, from 1.
+	choose   func(id string, n int) behavior
+	sends    map[string]int
+	runs     map[string]int
+	timeLeft []time.Duration
+	sentTo   []string
 	// customers and urgencies are those of the attempts.
 	customers []string
 	urgencies []int
-	// tells is what the answer of an upstream to its nth request tells of it; nil tells nothing.
-	tells func(upstream string, n int) fleet.Notice
-	// gone are the upstreams that crashed, and looks counts the looks at them.
-	gone  map[string]bool
-	looks int
+	// notice returns what the answer of an upstream to its nth request announces; nil announces nothing.
+	notice func(upstream string, n int) fleet.Notice
+	// crashed holds the upstreams that crashed, and crashChecks counts the checks of upstreams.
+	crashed     map[string]bool
+	crashChecks int
 }
 
 // refuses reports whether an upstream crashed.
 func (f *fakeUpstreams) refuses(_ context.Context, of fleet.Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.looks++
-	return f.gone[of.ID]
+	f.crashChecks++
+	return f.crashed[of.ID]
 }
 
 const plainBody = "the whole answer"
@@ -78,22 +78,22 @@
 	f.mu.Lock()
 	f.sends[id]++
 	n := f.sends[id]
-	f.left = append(f.left, attempt.Left)
-	f.on = append(f.on, to.ID)
+	f.timeLeft = append(f.timeLeft, attempt.Left)
+	f.sentTo = append(f.sentTo, to.ID)
 	f.customers = append(f.customers, attempt.Customer)
 	f.urgencies = append(f.urgencies, attempt.Urgency)
 	nth := 0
-	for _, on := range f.on {
+	for _, on := range f.sentTo {
 		if on == to.ID {
 			nth++
 		}
 	}
 	f.mu.Unlock()
-	if f.tells != nil {
-		notice := f.tells(to.ID, nth)
+	if f.notice != nil {
+		notice := f.notice(to.ID, nth)
 		to.Told(notice)
 		if notice.Rest > 0 {
-			return turnedDown(), nil
+			return notExecutedAnswer(), nil
 		}
 	}
 	chosen := f.choose(id, n)
@@ -101,7 +101,7 @@
 	case notSent:
 		return nil, ErrNotSent
 	case refuses:
-		return turnedDown(), nil
+		return notExecutedAnswer(), nil
 	}
 	f.mu.Lock()
 	f.runs[id]++
@@ -110,7 +110,7 @@
 	case crashes:
 		time.Sleep(crashTime)
 		f.mu.Lock()
-		f.gone[to.ID] = true
+		f.crashed[to.ID] = true
 		f.mu.Unlock()
 		return nil, ErrBroken
 	case brokenBeforeHead:
@@ -132,12 +132,12 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{"Seal": {to.ID}}, Body: io.NopCloser(body)}, nil
 }
 
-// turnedDown is the answer of an upstream that does not run a request.
-func turnedDown() *Answer {
+// notExecutedAnswer returns the answer of an upstream that does not run a request.
+func notExecutedAnswer() *Answer {
 	return &Answer{Status: http.StatusServiceUnavailable, NotExecuted: true, Body: io.NopCloser(strings.NewReader("")), Header: http.Header{}}
 }
 
-// eventCount is how many events answer a stream.
+// eventCount is the number of events in a streamed answer.
 const eventCount = 6
 
 func events(last string) string {
@@ -153,14 +153,14 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
 
-// fixture is a gateway on fakes.
+// fixture is a gateway with fake upstreams.
 type fixture struct {
 	*Gateway
 	upstreams *fakeUpstreams
 }
 
-func newFixture(choose func(id string, n int) fate, boxes int) *fixture {
-	f := &fakeUpstreams{choose: choose, sends: map[string]int{}, runs: map[string]int{}, gone: map[string]bool{}}
+func newFixture(choose func(id string, n int) behavior, boxes int) *fixture {
+	f := &fakeUpstreams{choose: choose, sends: map[string]int{}, runs: map[string]int{}, crashed: map[string]bool{}}
 	loads := dispatch.NewLoadTracker()
 	g := &Gateway{
 		Directory: fleet.New(),
@@ -200,7 +200,7 @@
 	return &fixture{Gateway: g, upstreams: f}
 }
 
-// caller is a response writer that knows whether the answer was broken off.
+// caller is a response writer that records whether the answer was broken off.
 type caller struct {
 	*httptest.ResponseRecorder
 	aborted bool
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -13,36 +13,37 @@
 	"ospreymoor.example/ospreymoor/pkg/logfield"
 )
 
-// Front is the HTTP server towards callers: it keeps the configuration's limits and drains.
+// Front is the HTTP server for callers. It enforces the configuration's limits and can be drained.
 type Front struct {
 	Server *http.Server
 
 	gateway *Gateway
-	// closing ends each connection with its next answer; refusing turns new requests away.
+	// closing closes each connection with its next answer; refusing refuses new requests.
 	closing  atomic.Bool
 	refusing atomic.Bool
 
 	mu sync.Mutex
-	// idle holds since when a connection has been idle, and closed the idle ones that this box closed, until the server has noticed.
-	idle   map[net.Conn]time.Time
-	closed map[net.Conn]bool
+	// idleSince is since when each idle connection has been idle. closedIdle holds the idle connections that this
+	// box has closed, until the server reports them as closed.
+	idleSince  map[net.Conn]time.Time
+	closedIdle map[net.Conn]bool
 }
 
 const (
-	// maxHeaderBytes bounds a request's head, whatever the configuration has.
+	// maxHeaderBytes limits the size of a request's header, whatever the configuration says.
 	maxHeaderBytes = 64 << 10
-	// headerTimeout bounds the time in which a head comes in.
+	// headerTimeout limits the time in which a request's header must arrive.
 	headerTimeout = 10 * time.Second
-	// idleCheck is the interval at which idle connections are looked at: they are closed at most this
-	// much late.
-	idleCheck = 500 * time.Millisecond
+	// idleCheckInterval is the interval at which idle connections are checked. They are closed at most this much
+	// late.
+	idleCheckInterval = 500 * time.Millisecond
 )
 
-// NewFront returns a server that hands requests to handler.
+// NewFront returns a server that passes requests to handler.
 func NewFront(handler http.Handler, gateway *Gateway) *Front {
-	f := &Front{gateway: gateway, idle: map[net.Conn]time.Time{}, closed: map[net.Conn]bool{}}
+	f := &Front{gateway: gateway, idleSince: map[net.Conn]time.Time{}, closedIdle: map[net.Conn]bool{}}
 	f.Server = &http.Server{
-		Handler:           f.unlessClosed(f.drainable(handler)),
+		Handler:           f.dropIfClosed(f.withDrain(handler)),
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         f.trackIdle,
@@ -51,7 +52,7 @@
 	return f
 }
 
-// Serve answers the connections of a listener until Drain.
+// Serve serves the connections of a listener until Drain.
 func (f *Front) Serve(listener net.Listener) {
 	stop := make(chan struct{})
 	go f.closeIdle(stop)
@@ -61,34 +62,34 @@
 	close(stop)
 }
 
-// trackIdle notes since when a connection has been idle.
+// trackIdle records since when a connection has been idle.
 func (f *Front) trackIdle(conn net.Conn, state http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if state == http.StateIdle {
-		f.idle[conn] = time.Now()
+		f.idleSince[conn] = time.Now()
 		return
 	}
-	delete(f.idle, conn)
+	delete(f.idleSince, conn)
 	if state == http.StateClosed {
-		delete(f.closed, conn)
+		delete(f.closedIdle, conn)
 	}
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// unlessClosed drops requests that were read from a connection just before it was closed as idle: their callers get no answer, and must be
-// able to send them again.
-func (f *Front) unlessClosed(next http.Handler) http.Handler {
+// dropIfClosed drops requests that were read from a connection just before it was closed as idle. Their callers
+// get no answer and must be able to send them again, so they must not run.
+func (f *Front) dropIfClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, _ := r.Context().Value(connKey{}).(net.Conn)
 		f.mu.Lock()
-		closed := f.closed[conn]
+		closed := f.closedIdle[conn]
 		f.mu.Unlock()
 		if closed {
 			panic(http.ErrAbortHandler)
@@ -97,10 +98,10 @@
 	})
 }
 
-// closeIdle closes connections that have been idle for longer than the configuration allows. The
-// server's own limit can't be used: it is fixed at the start, and the configuration changes.
+// closeIdle closes connections that have been idle for longer than the configuration allows. The server's own
+// limit cannot be used: it is fixed at the start, and the configuration may change.
 func (f *Front) closeIdle(stop <-chan struct{}) {
-	ticker := time.NewTicker(idleCheck)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,11 +120,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for conn, since := range f.idle {
+	for conn, since := range f.idleSince {
 		if now.Sub(since) > table.Limits.IdleTimeout {
 			_ = conn.Close()
-			delete(f.idle, conn)
-			f.closed[conn] = true
+			delete(f.idleSince, conn)
+			f.closedIdle[conn] = true
 		}
 	}
 }
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -13,8 +13,8 @@
 )
 
 var _ = Describe("a connection that is closed as idle", func() {
-	It("passes nothing on that was read from it just before", func() {
-		f := newFixture(func(string, int) fate { return whole }, 1)
+	It("drops a request that was read from it just before", func() {
+		f := newFixture(func(string, int) behavior { return succeeds }, 1)
 		f.SetTable(routes.New(100, nil, nil, routes.Limits{IdleTimeout: time.Second}))
 		passedOn := 0
 		front := NewFront(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { passedOn++ }), f.Gateway)
@@ -27,7 +27,7 @@
 			}
 			return r.WithContext(front.Server.ConnContext(r.Context(), conn))
 		}
-		// The server has read a request, and tells that the connection is active after it was closed.
+		// The server has read a request, and reports the connection as active only after it was closed.
 		front.Server.ConnState(conn, http.StateIdle)
 		front.closeIdleSince(time.Now().Add(2 * time.Second))
 		front.Server.ConnState(conn, http.StateActive)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,106 +16,113 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// ErrAborted means that an answer was begun and can't be completed: whoever called Serve must break
-// the caller's connection, so that the answer does not look whole.
+// ErrAborted is returned by Serve when an answer was begun and cannot be completed. The caller of Serve must then
+// close the client's connection abnormally, so that the truncated answer does not look complete.
 const ErrAborted = errors.ConstError("answer can't be completed: the connection to the caller is broken off")
 
-// Gateway serves requests. New makes one; its exported fields must not change after the first
-// request.
+// Gateway serves requests. Create one with New. Its exported fields must not change after the first request.
 type Gateway struct {
 	Directory *fleet.Directory
 	Loads     *dispatch.LoadTracker
 	Chooser   *dispatch.Chooser
 	Upstreams Upstreams
-	// Regions are those of all halls, by hall.
+	// Regions maps each hall to its region.
 	Regions map[string]string
-	// Ensure asks the order holder for an adapter or model.
+	// Ensure asks the order holder to load an adapter or model.
 	Ensure func(ctx context.Context, want residency.Want) (residency.EnsureResult, error)
-	// NoteDemand takes work that was asked for, in milliseconds of an engine's time.
-	NoteDemand func(work map[residency.WorkKey]float64)
-	// Reserve asks for an engine's time to read a prompt; nil, or an error, and requests go by the reported loads alone.
+	// RecordDemand records requested work per model, in milliseconds of engine time.
+	RecordDemand func(work map[residency.WorkKey]float64)
+	// Reserve reserves engine time for reading a prompt. If it is nil or returns an error, requests are placed by
+	// the reported loads alone.
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
-	// AskRate asks for one request to an upstream that is cold or names a limit; it must be set.
+	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
+	// must be set.
 	AskRate func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error)
-	// Quotas take the costs of requests off their customers' quotas.
+	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
-	// Quarantine is what is known of requests under which upstreams crashed.
+	// Quarantine holds what is known of requests under which upstreams crashed.
 	Quarantine *quarantine.Register
-	// Holdings bound what this box holds for callers; nil does not.
-	Holdings *Holdings
+	// Holdings limits the memory that this box uses for callers' bodies and answers. nil sets no limit.
+	Holdings *MemoryBudget
 	Log      *zap.Logger
 	Metrics  *metrics.Set
 
 	budget *retryBudget
 	uses   modelUses
 	table  atomic.Pointer[routes.Table]
-	// configured is closed once there is a table.
+	// configured is closed once a route table is in force.
 	configured chan struct{}
-	flight     atomic.Int64
-	// crashChecks are the latest looks at upstreams whose answers broke.
+	inFlight   atomic.Int64
+	// crashChecks holds the recent checks of upstreams whose answers broke off.
 	crashChecks crashChecks
-	// customerNames are the customers that metrics name, and customerCount how many wanted to be.
+	// customerNames are the customers with a metric label of their own. customerCount counts each use of a name
+	// that had none yet, and so bounds the number of labels.
 	customerNames sync.Map
 	customerCount atomic.Int64
 }
 
-// Config is what a gateway works with.
+// Config holds the dependencies and settings of a Gateway.
 type Config struct {
 	Directory *fleet.Directory
 	Loads     *dispatch.LoadTracker
 	Chooser   *dispatch.Chooser
 	Upstreams Upstreams
-	// Regions are those of all halls, by hall.
+	// Regions maps each hall to its region.
 	Regions map[string]string
-	// Ensure asks the order holder for an adapter or model.
+	// Ensure asks the order holder to load an adapter or model.
 	Ensure func(ctx context.Context, want residency.Want) (residency.EnsureResult, error)
-	// Note takes work that was asked for, in milliseconds of an engine's time.
+	// Note records requested work per model, in milliseconds of engine time.
 	Note func(work map[residency.WorkKey]float64)
-	// Reserve asks for an engine's time to read a prompt; nil, or an error, and requests go by the reported loads alone.
+	// Reserve reserves engine time for reading a prompt. If it is nil or returns an error, requests are placed by
+	// the reported loads alone.
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
-	// AskRate asks for one request to an upstream that is cold or names a limit; it must be set.
+	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
+	// must be set.
 	AskRate func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error)
-	// Quotas take the costs of requests off their customers' quotas.
+	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
-	// Quarantine is what is known of requests under which upstreams crashed; nil is a register of this box alone.
+	// Quarantine holds what is known of requests under which upstreams crashed. nil creates a register that only
+	// this box uses.
 	Quarantine *quarantine.Register
-	// MemoryBytes is this box's memory; 0 if it is not known.
+	// MemoryBytes is this box's memory; 0 if unknown.
 	MemoryBytes int64
-	// Retries bound the retries of the whole fleet; each of Boxes boxes takes its share.
+	// Retries limits the retries of the whole fleet. Each box uses an equal share, by the number that Boxes
+	// returns.
 	Retries RetryLimits
-	// Boxes returns the largest number of boxes that were known at once.
+	// Boxes returns the largest number of boxes that were ever known at the same time.
 	Boxes   func() int
 	Log     *zap.Logger
 	Metrics *metrics.Set
 }
 
-// New returns a gateway without a configuration: it refuses requests until SetTable.
+// New returns a gateway without a route table. It refuses requests until SetTable is called.
 func New(config Config) *Gateway {
 	if config.Quarantine == nil {
 		config.Quarantine = quarantine.NewRegister(quarantine.DefaultPolicy)
 	}
 	return &Gateway{
-		Directory:  config.Directory,
-		Loads:      config.Loads,
-		Chooser:    config.Chooser,
-		Upstreams:  config.Upstreams,
-		Regions:    config.Regions,
-		Ensure:     config.Ensure,
-		NoteDemand: config.Note,
-		Reserve:    config.Reserve,
-		AskRate:    config.AskRate,
-		Quotas:     config.Quotas,
-		Quarantine: config.Quarantine,
-		Holdings:   NewHoldings(config.MemoryBytes),
-		Log:        config.Log,
-		Metrics:    config.Metrics,
-		budget:     newRetryBudget(config.Retries, config.Boxes),
-		uses:       modelUses{running: map[residency.ModelUse]int{}},
-		configured: make(chan struct{}),
+		Directory:    config.Directory,
+		Loads:        config.Loads,
+		Chooser:      config.Chooser,
+		Upstreams:    config.Upstreams,
+		Regions:      config.Regions,
+		Ensure:       config.Ensure,
+		RecordDemand: config.Note,
+		Reserve:      config.Reserve,
+		AskRate:      config.AskRate,
+		Quotas:       config.Quotas,
+		Quarantine:   config.Quarantine,
+		Holdings:     NewMemoryBudget(config.MemoryBytes),
+		Log:          config.Log,
+		Metrics:      config.Metrics,
+		budget:       newRetryBudget(config.Retries, config.Boxes),
+		uses:         modelUses{running: map[residency.ModelUse]int{}},
+		configured:   make(chan struct{}),
 	}
 }
 
-// SetTable puts a configuration in force; one that is not newer is ignored.
+// SetTable puts a route table in force and reports whether it did. A table that is not newer than the current one
+// is ignored.
 func (g *Gateway) SetTable(table *routes.Table) bool {
 	for {
 		old := g.table.Load()
@@ -131,11 +138,11 @@
 	}
 }
 
-// Table returns the configuration in force, or nil.
+// Table returns the route table in force, or nil if there is none yet.
 func (g *Gateway) Table() *routes.Table { return g.table.Load() }
 
-// InFlight counts the requests under way.
-func (g *Gateway) InFlight() int64 { return g.flight.Load() }
+// InFlight returns the number of requests in flight.
+func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// ModelUses lists what this box has running, by upstream, model and adapter.
+// ModelUses lists this box's requests in flight by upstream, model and adapter.
 func (g *Gateway) ModelUses() []residency.ModelUse { return g.uses.list() }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,15 +16,15 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// refused reports whether a status promises that the request never runs.
+// refused reports whether a status promises that the request never ran.
 func refused(status int) bool { return status == http.StatusServiceUnavailable }
 
 var _ = Describe("a gateway", func() {
-	It("runs what may run once at most once, and never what it answered 503", func() {
+	It("runs a request that may run once at most once, and never one that it answered with 503", func() {
 		spectest.Bubble(func() {
 			for seed := range uint64(40) {
 				random := rand.New(rand.NewPCG(seed, 3))
-				f := newFixture(func(string, int) fate { return fate(random.IntN(int(fates))) }, 1)
+				f := newFixture(func(string, int) behavior { return behavior(random.IntN(int(behaviorCount))) }, 1)
 				for n := range 20 {
 					id := fmt.Sprint(seed, "-", n)
 					path, model := "/once/x", ""
@@ -45,11 +45,11 @@
 		})
 	})
 
-	It("joins resumable streams cleanly, under the first upstream's head, or breaks them off", func() {
+	It("resumes streams without gaps or repeats, under the first upstream's header, or breaks them off", func() {
 		spectest.Bubble(func() {
 			for seed := range uint64(60) {
 				random := rand.New(rand.NewPCG(seed, 4))
-				f := newFixture(func(string, int) fate { return fate(random.IntN(int(fates))) }, 1)
+				f := newFixture(func(string, int) behavior { return behavior(random.IntN(int(behaviorCount))) }, 1)
 				got := f.ask(context.Background(), "r", "/stream/x", "m")
 				if got.Code != http.StatusOK {
 					continue
@@ -59,14 +59,14 @@
 				} else {
 					Expect(got.Body.String()).To(Equal(events("")))
 				}
-				Expect(f.upstreams.on).To(ContainElement(got.Header().Get("Seal")))
+				Expect(f.upstreams.sentTo).To(ContainElement(got.Header().Get("Seal")))
 			}
 		})
 	})
 
 	It("sends a request again only within the route's attempts", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return brokenBeforeHead }, 1)
+			f := newFixture(func(string, int) behavior { return brokenBeforeHead }, 1)
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(f.upstreams.runs["r"]).To(Equal(2))
 			Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
@@ -75,7 +75,7 @@
 
 	It("passes an upstream's failure on when no other one does better", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return fails }, 1)
+			f := newFixture(func(string, int) behavior { return fails }, 1)
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(got.Code).To(Equal(http.StatusInternalServerError))
 			Expect(got.Header().Get("Seal")).To(Equal("s"))
@@ -83,20 +83,20 @@
 		})
 	})
 
-	It("gives its final answer at the route's timeout, and gives upstreams the time that is left", func() {
+	It("gives its final answer at the route's timeout, and tells upstreams the time that is left", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return hangs }, 1)
+			f := newFixture(func(string, int) behavior { return hangs }, 1)
 			begun := time.Now()
 			got := f.ask(context.Background(), "r", "/once/x", "")
 			Expect(got.Code).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(begun)).To(Equal(3 * time.Second))
-			Expect(f.upstreams.left[0]).To(BeNumerically("<=", 3*time.Second))
+			Expect(f.upstreams.timeLeft[0]).To(BeNumerically("<=", 3*time.Second))
 		})
 	})
 
-	It("waits for a load whose end is known, and not so long for one of which nothing is known", func() {
+	It("waits for a load whose end is known, and less long for one whose end is unknown", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			begun := time.Now()
 			f.Ensure = func(context.Context, residency.Want) (residency.EnsureResult, error) {
 				return residency.EnsureResult{Ready: 500*time.Millisecond - time.Since(begun)}, residency.ErrNoPlace
@@ -118,7 +118,7 @@
 
 	It("refuses at once what no engine can hold in time, with a retry-after", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			begun := time.Now()
 			got := f.ask(context.Background(), "r", "/stream/x", "nowhere")
 			Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
@@ -127,9 +127,9 @@
 		})
 	})
 
-	It("keeps what comes just after its start until the first configuration is there, for a moment", func() {
+	It("holds requests that arrive just after its start for a moment until the first configuration is in force", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			table := f.Table()
 			f.table.Store(nil)
 			f.configured = make(chan struct{})
@@ -143,7 +143,7 @@
 
 	It("answers 503, never 404, while it knows no configuration", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			f.table.Store(nil)
 			Expect(f.ask(context.Background(), "r", "/once/x", "").Code).To(Equal(http.StatusServiceUnavailable))
 			Expect(f.ask(context.Background(), "r", "/nowhere/x", "").Code).To(Equal(http.StatusServiceUnavailable))
@@ -152,7 +152,7 @@
 
 	It("never goes back to an older configuration", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
 			Expect(f.SetTable(routes.New(2, nil, nil, routes.Limits{}))).To(BeTrue())
 			Expect(f.SetTable(routes.New(1, nil, nil, routes.Limits{}))).To(BeFalse())
@@ -163,7 +163,7 @@
 	It("keeps retries within its share of the budget, whatever fails", func() {
 		spectest.Bubble(func() {
 			const boxes = 5
-			f := newFixture(func(string, int) fate { return brokenBeforeHead }, boxes)
+			f := newFixture(func(string, int) behavior { return brokenBeforeHead }, boxes)
 			const requests = 400
 			for n := range requests {
 				f.ask(context.Background(), fmt.Sprint(n), "/safe/x", "")
@@ -179,15 +179,15 @@
 
 	It("does not count as a retry what never reached an upstream", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(_ string, n int) fate {
+			f := newFixture(func(_ string, n int) behavior {
 				if n == 1 {
 					return notSent
 				}
-				return whole
+				return succeeds
 			}, 1000)
 			for n := range 50 {
 				Expect(f.ask(context.Background(), fmt.Sprint(n), "/once/x", "").Code).To(Equal(http.StatusOK))
-				time.Sleep(time.Second) // The upstream that took no connection is tried again.
+				time.Sleep(time.Second) // The upstream that accepted no connection is tried again.
 			}
 		})
 	})
--- a/internal/gateway/holdings.go
+++ b/internal/gateway/holdings.go
@@ -2,52 +2,55 @@
 
 import "sync/atomic"
 
-// Holdings counts the bytes that this box holds for callers: bodies of requests under way and answers that are held until they are whole.
-// A nil one sets no limit. It is safe for concurrent use.
-type Holdings struct {
+// MemoryBudget counts and limits the memory that this box uses for callers: the bodies of requests in flight and
+// the answers that are buffered until they are complete. A nil budget sets no limit. It is safe for concurrent
+// use.
+type MemoryBudget struct {
 	limit int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
 const (
-	// controlBytes is what a box needs beside what it holds for callers.
-	controlBytes = 64 << 20
-	// holdingsShare is the part of the rest that may be held: the runtime needs as much again until it has collected what is over, and
-	// half of that is left to the buffers of connections.
-	holdingsShare = 4
+	// processReserveBytes is the memory that a box needs apart from what it holds for callers.
+	processReserveBytes = 64 << 20
+	// memoryBudgetDivisor gives the budget as a part of the memory beyond processReserveBytes. The runtime needs
+	// as much again until it has collected what is no longer used, and the other half is left for the buffers of
+	// connections.
+	memoryBudgetDivisor = 4
 )
 
-// NewHoldings returns the holdings of a box with so much memory, in bytes; without a limit if that is not known.
-func NewHoldings(memoryBytes int64) *Holdings {
+// NewMemoryBudget returns the budget of a box with this much memory, in bytes. It returns nil, which sets no
+// limit, if the memory is unknown.
+func NewMemoryBudget(memoryBytes int64) *MemoryBudget {
 	if memoryBytes <= 0 {
 		return nil
 	}
-	return &Holdings{limit: max(maxHeldAnswer, (memoryBytes-controlBytes)/holdingsShare)}
+	return &MemoryBudget{limit: max(maxBufferedAnswer, (memoryBytes-processReserveBytes)/memoryBudgetDivisor)}
 }
 
-// Take counts bytes that are to be held. It is false, and nothing is counted, if that were too many.
-func (h *Holdings) Take(bytes int64) bool {
-	if h == nil {
+// Reserve counts bytes that are about to be held. It returns false and counts nothing if they exceed the budget.
+func (b *MemoryBudget) Reserve(bytes int64) bool {
+	if b == nil {
 		return true
 	}
-	if h.held.Add(bytes) <= h.limit {
+	if b.used.Add(bytes) <= b.limit {
 		return true
 	}
-	h.held.Add(-bytes)
+	b.used.Add(-bytes)
 	return false
 }
 
-// Give counts bytes that are held no more.
-func (h *Holdings) Give(bytes int64) {
-	if h != nil {
-		h.held.Add(-bytes)
+// Release returns bytes to the budget that are no longer held.
+func (b *MemoryBudget) Release(bytes int64) {
+	if b != nil {
+		b.used.Add(-bytes)
 	}
 }
 
-// Held is how many bytes are held.
-func (h *Holdings) Held() int64 {
-	if h == nil {
+// Held returns the number of bytes in use.
+func (b *MemoryBudget) Held() int64 {
+	if b == nil {
 		return 0
 	}
-	return h.held.Load()
+	return b.used.Load()
 }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -11,40 +11,40 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// inflight is one request under way, from its route to its final answer. One goroutine uses it. It has 19 fields because it is all that
-// the box knows of one request.
+// inflight is a request in flight, from its route to its final answer. A single goroutine uses it. It has 19
+// fields because it holds all that the box knows of one request.
 type inflight struct {
 	gateway *Gateway
 	request *Request
 	route   *routes.Route
 	// service is the one of the route's services that all attempts go to.
 	service string
-	// customer that the request is run for; nil if it has none.
+	// customer is the customer that the request is run for; nil if it has none.
 	customer *customers.Customer
-	// quota is the verdict on the request's cost, where the customer has a limit.
+	// quota is the verdict on the request's cost, if the customer has a limit.
 	quota customers.Verdict
 	need  dispatch.Requirements
-	// model that the request asks for; nil if the configuration does not describe it.
+	// model describes the model that the request asks for; nil if the configuration does not describe it.
 	model     *routes.Model
 	deadlines deadlines
 	attempts  attempts
 	timing    timing
-	// demandNoted is set once the demand of a request that no engine could take was reported.
-	demandNoted bool
-	// chosen is the latest choice of an upstream, for the log; admission may have refused it.
-	chosen dispatch.Choice
-	// rests are the upstreams that may not get the request now because they asked for rest, as of the latest look.
-	rests rests
-	// endpoint is what the chosen upstream is sent next.
+	// unservedDemandReported is set once the demand of a request that no engine could take has been reported.
+	unservedDemandReported bool
+	// lastChoice is the latest choice of an upstream, for the log. Admission may have refused it.
+	lastChoice dispatch.Choice
+	// deferredUpstreams holds the upstreams that may not get the request now, as of the latest call of candidates.
+	deferredUpstreams deferredUpstreams
+	// endpoint is the chosen upstream, as returned by the directory for the next send.
 	endpoint *fleet.Endpoint
-	// known is what this box knows of upstreams that crashed under the request.
-	known knownCrashes
-	// rate is what bounds the requests to upstreams, and what was asked of their keepers.
-	rate rateAsks
-	// holds is how many bytes of answers it holds of the box's memory for callers.
-	holds int64
-	// bound means that only upstreams in some regions may serve the request.
-	bound bool
+	// crashHistory is what this box knows of upstreams that crashed under the request.
+	crashHistory crashHistory
+	// rate holds the service's settings for cold engines and the request's rate grants.
+	rate rateState
+	// bufferedBytes is the number of bytes of answers that the request holds of the box's memory budget.
+	bufferedBytes int64
+	// regionBound is set if only upstreams in some regions may serve the request.
+	regionBound bool
 }
 
 func newInflight(g *Gateway, table *routes.Table, route *routes.Route, customer *customers.Customer, request *Request) *inflight {
@@ -54,15 +54,15 @@
 		need.Urgency = max(0, *customer.Urgency)
 	}
 	r := &inflight{
-		gateway:   g,
-		request:   request,
-		route:     route,
-		service:   service,
-		customer:  customer,
-		bound:     isBound(route, customer),
-		need:      need,
-		model:     describedModel(table.Services[service], request.Model),
-		deadlines: newDeadlines(route, request),
+		gateway:     g,
+		request:     request,
+		route:       route,
+		service:     service,
+		customer:    customer,
+		regionBound: isRegionBound(route, customer),
+		need:        need,
+		model:       describedModel(table.Services[service], request.Model),
+		deadlines:   newDeadlines(route, request),
 	}
 	if described := table.Services[service]; described != nil {
 		r.rate.coldStart, r.rate.coldPerSecond = described.ColdStart, described.ColdPerSecond
@@ -70,7 +70,7 @@
 	return r
 }
 
-// describedModel is a service's description of a model, nil if it has none.
+// describedModel returns a service's description of a model, or nil if it has none.
 func describedModel(service *routes.Service, model string) *routes.Model {
 	if service == nil {
 		return nil
@@ -78,8 +78,8 @@
 	return service.Model(model)
 }
 
-// requirements is what the request asks of an upstream. Only a service of engines is asked for a
-// model; service is nil if the table does not describe it.
+// requirements returns what the request needs of an upstream. Only a service of engines needs a model; service is
+// nil if the table does not describe it.
 func requirements(service *routes.Service, route *routes.Route, request *Request, name string) dispatch.Requirements {
 	need := dispatch.Requirements{Service: name, Urgency: route.Urgency}
 	if service == nil || service.Engines == nil || request.Model == "" {
@@ -98,8 +98,8 @@
 	return need
 }
 
-// promptTokens is the larger of the two sizes that a caller gives: that of the prompt as a whole, and
-// that of its parts.
+// promptTokens returns the larger of the two sizes that a caller states: that of the whole prompt and the sum of
+// its parts.
 func promptTokens(request *Request) int {
 	parts := 0
 	for _, part := range request.Prompt {
@@ -108,17 +108,18 @@
 	return max(parts, request.PromptTokens)
 }
 
-// attempts are those of a request so far.
+// attempts describes the attempts of a request so far.
 type attempts struct {
-	// sent counts all of them.
+	// sent counts all attempts.
 	sent int
-	// reached counts those that an upstream received.
+	// reached counts the attempts that an upstream received.
 	reached int
-	// mayHaveRun counts those that an upstream received and did not turn down.
+	// mayHaveRun counts the attempts that an upstream received and did not reject.
 	mayHaveRun int
-	// abandoned counts those that the caller left before it was known whether an upstream received them.
+	// abandoned counts the attempts during which the caller left, before it was known whether an upstream received
+	// them.
 	abandoned int
-	// upstreams are the ids of the upstreams that the request was sent to.
+	// upstreams holds the ids of the upstreams that the request was sent to.
 	upstreams []string
 }
 
@@ -128,7 +129,7 @@
 	a.upstreams = append(a.upstreams, choice.Upstream.ID)
 }
 
-// latestUpstream is the id of the upstream that the request was sent to last; empty if there is none.
+// latestUpstream returns the id of the upstream that the request was sent to last; empty if there is none.
 func (a *attempts) latestUpstream() string {
 	if len(a.upstreams) == 0 {
 		return ""
@@ -136,9 +137,9 @@
 	return a.upstreams[len(a.upstreams)-1]
 }
 
-// timing is when the parts of a streamed answer were passed on, for the log.
+// timing records when the parts of a streamed answer were passed on, for the log.
 type timing struct {
-	// firstByte is when the head was passed on; zero for answers that are not streamed.
+	// firstByte is when the header was passed on; zero for answers that are not streamed.
 	firstByte time.Time
 	// lastEvent is when the latest event was passed on.
 	lastEvent time.Time
@@ -146,8 +147,8 @@
 	longestGap time.Duration
 }
 
-// event notes an event that was passed on now.
-func (t *timing) event() {
+// recordEvent records that an event was passed on just now.
+func (t *timing) recordEvent() {
 	now := time.Now()
 	if !t.lastEvent.IsZero() {
 		t.longestGap = max(t.longestGap, now.Sub(t.lastEvent))
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -11,7 +11,7 @@
 	"ospreymoor.example/ospreymoor/pkg/logfield"
 )
 
-// refuse gives the final answer of the gateway itself to a request under way.
+// refuse ends a request in flight with a final answer of the gateway itself.
 func (r *inflight) refuse(w http.ResponseWriter, refused *refusal) {
 	r.gateway.countRefusal(refused)
 	r.logEnd(refused.status, refused.reason, nil)
@@ -20,7 +20,8 @@
 	}
 }
 
-// refuseUnserved refuses a request without a route or a customer; route is its name, if it has one.
+// refuseUnserved refuses a request that has no route, no customer or no route table to look them up in. route is
+// the name of its route; empty if it has none.
 func (g *Gateway) refuseUnserved(w http.ResponseWriter, request *Request, route string, refused *refusal) {
 	g.countRefusal(refused)
 	g.Log.Info("request ended",
@@ -38,9 +39,9 @@
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_refusals_total{reason=%q}", refused.reason)).Inc()
 }
 
-// logAttempt counts and logs an attempt without a good answer. took is the time to the head of the answer
-// or to the error; for a stream that broke, it is counted from the arrival of the request, and for a
-// plain answer that broke it is 0.
+// logAttempt counts and logs an attempt without a good answer. took is the time to the head of the answer or to
+// the error. For a stream that broke off it is measured from the arrival of the request, and for a plain answer
+// that broke off it is 0.
 func (r *inflight) logAttempt(choice dispatch.Choice, status int, took time.Duration, err error, more ...zap.Field) {
 	r.gateway.Metrics.GetOrCreateCounter("ospreymoor_attempts_failed_total").Inc()
 	load := r.gateway.Loads.Total(choice.Upstream.ID)
@@ -59,9 +60,9 @@
 		logfield.Error(err))...)
 }
 
-// logEnd counts and logs how a request ended: once for each request, with the latest choice of an
-// upstream, also one that admission refused. cause is empty for the answer of an upstream; err is
-// set if the answer was broken off.
+// logEnd counts and logs how a request ended. It is called once per request. The line has the latest choice of an
+// upstream, even if admission refused it. cause is empty for the answer of an upstream; err is set if the answer
+// was broken off.
 func (r *inflight) logEnd(status int, cause reason, err error) {
 	took := time.Since(r.request.Arrived)
 	first := took
@@ -88,18 +89,18 @@
 		zap.Duration("target", r.route.Target),
 		zap.Duration("gap", r.timing.longestGap),
 		zap.Duration("gapTarget", r.route.GapTarget),
-		zap.Duration("predicted", r.chosen.Wait),
-		zap.Int("uncached", r.chosen.Uncached),
-		zap.Int("running", r.chosen.Load.Running),
-		zap.Ints("prefill", r.chosen.Load.Prefill[:]),
-		zap.Int("memory", r.chosen.Load.Tokens),
+		zap.Duration("predicted", r.lastChoice.Wait),
+		zap.Int("uncached", r.lastChoice.Uncached),
+		zap.Int("running", r.lastChoice.Load.Running),
+		zap.Ints("prefill", r.lastChoice.Load.Prefill[:]),
+		zap.Int("memory", r.lastChoice.Load.Tokens),
 		zap.Duration("took", took),
 		zap.Int64("configVersion", g.tableVersion()),
 		zap.Int64("listRevision", g.Directory.Revision()),
 		logfield.Error(err))
 }
 
-// countEnd counts a request by its status, with the times to its first answer and to its end.
+// countEnd counts a request by status and records the times to its first answer and to its end.
 func (r *inflight) countEnd(status int, first, took time.Duration) {
 	set, route := r.gateway.Metrics, r.route.Name
 	set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_requests_total{route=%q,status=%q}", route, fmt.Sprint(status))).Inc()
@@ -107,7 +108,7 @@
 	set.GetOrCreateHistogram(fmt.Sprintf("ospreymoor_request_seconds{route=%q}", route)).Update(took.Seconds())
 }
 
-// tableVersion is the version of the route table in force; 0 if there is none.
+// tableVersion returns the version of the route table in force; 0 if there is none.
 func (g *Gateway) tableVersion() int64 {
 	if table := g.table.Load(); table != nil {
 		return table.Version
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -13,10 +13,10 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("the line of a request", func() {
-	It("has the prediction that admission refused it by", func() {
+var _ = Describe("the log line of a request", func() {
+	It("has the prediction by which admission refused it", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			core, lines := observer.New(zap.InfoLevel)
 			f.Log = zap.New(core)
 			busy := dispatch.Load{Running: 3, Prefill: [dispatch.UrgencyLevels]int{100_000}, Tokens: 5000}
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -9,11 +9,12 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// noteAgainst counts and logs a sending to an upstream whose answers told this box that it leaves, wants rest or takes few requests.
-func (r *inflight) noteAgainst(choice dispatch.Choice) {
+// logSentAgainstNotice counts and logs a request that is sent although answers of its upstream gave notice that it
+// leaves, wants a backoff or limits its requests.
+func (r *inflight) logSentAgainstNotice(choice dispatch.Choice) {
 	against := r.gateway.Directory.Against(choice.Upstream.ID)
 	if against.Limit.Named() {
-		r.noteLimited(choice, against.Limit)
+		r.logSentToLimited(choice, against.Limit)
 	}
 	if !against.Any() {
 		return
@@ -28,8 +29,9 @@
 		zap.Int64("listRevision", choice.Upstream.Revision))
 }
 
-// noteLimited counts and logs a sending to an upstream that names a limit: the lines of all boxes together show whether it holds.
-func (r *inflight) noteLimited(choice dispatch.Choice, limit fleet.Limit) {
+// logSentToLimited counts and logs a request that is sent to an upstream with an announced rate limit. The lines
+// of all boxes together show whether the limit is kept.
+func (r *inflight) logSentToLimited(choice dispatch.Choice, limit fleet.Limit) {
 	r.gateway.Metrics.GetOrCreateCounter("ospreymoor_sent_to_limited_total").Inc()
 	r.gateway.Log.Info("sent to limited upstream",
 		zap.String("id", r.request.ID),
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -20,12 +20,12 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// times counts how often an upstream was sent requests.
-func (f *fakeUpstreams) times(upstream string) int {
+// sendCount returns how many requests were sent to an upstream.
+func (f *fakeUpstreams) sendCount(upstream string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
-	for _, on := range f.on {
+	for _, on := range f.sentTo {
 		if on == upstream {
 			count++
 		}
@@ -33,8 +33,9 @@
 	return count
 }
 
-// only is a plan of what upstreams tell in which one tells something, in all its answers.
-func only(upstream string, n fleet.Notice) func(string, int) fleet.Notice {
+// noticeFrom returns a notice function by which one upstream gives notice n in all its answers, and the others
+// nothing.
+func noticeFrom(upstream string, n fleet.Notice) func(string, int) fleet.Notice {
 	return func(id string, _ int) fleet.Notice {
 		if id == upstream {
 			return n
@@ -43,8 +44,8 @@
 	}
 }
 
-var _ = Describe("requests, with upstreams that tell in their answers that they leave or want rest", func() {
-	const rest = 3 * time.Second
+var _ = Describe("requests to upstreams whose answers give notice that they leave or want a backoff", func() {
+	const backoff = 3 * time.Second
 	// askAll sends requests of all kinds, one after the other.
 	askAll := func(f *fixture, name string) {
 		for n := range 30 {
@@ -56,11 +57,11 @@
 		}
 	}
 
-	It("go to one that leaves until the first answer that tells it, and never again, whatever a list says", func() {
+	It("never go to a leaving upstream after the first answer with that notice, whatever a list says", func() {
 		spectest.Bubble(func() {
 			for _, leaving := range []string{"p1", "e2"} {
-				f := newFixture(func(string, int) fate { return whole }, 1)
-				f.upstreams.tells = only(leaving, fleet.Notice{Leaving: true})
+				f := newFixture(func(string, int) behavior { return succeeds }, 1)
+				f.upstreams.notice = noticeFrom(leaving, fleet.Notice{Leaving: true})
 				askAll(f, "first")
 				list := []fleet.Upstream{}
 				for _, id := range []string{"p0", "p1", "e0", "e2"} {
@@ -77,81 +78,81 @@
 				f.Directory.ExpireMarks()
 				f.Directory.SetList(4, list, time.Now())
 				askAll(f, "third")
-				Expect(f.upstreams.times(leaving)).To(Equal(1))
+				Expect(f.upstreams.sendCount(leaving)).To(Equal(1))
 			}
 		})
 	})
 
-	It("leave one that wants rest alone until that is over, on all ways: first, again, resumed, kept back", func() {
+	It("avoid an upstream until its backoff is over: when first sent, retried, resumed or delayed", func() {
 		spectest.Bubble(func() {
-			for _, resting := range []string{"p1", "e2"} {
-				f := newFixture(func(string, int) fate { return whole }, 1)
-				f.upstreams.tells = only(resting, fleet.Notice{Rest: rest})
-				fates := 0
-				f.upstreams.choose = func(string, int) fate {
-					fates++
-					return []fate{whole, brokenBody, refuses, fails, whole}[fates%5]
+			for _, backingOff := range []string{"p1", "e2"} {
+				f := newFixture(func(string, int) behavior { return succeeds }, 1)
+				f.upstreams.notice = noticeFrom(backingOff, fleet.Notice{Rest: backoff})
+				attempts := 0
+				f.upstreams.choose = func(string, int) behavior {
+					attempts++
+					return []behavior{succeeds, brokenBody, refuses, fails, succeeds}[attempts%5]
 				}
 				begun := time.Now()
 				for time.Since(begun) < 2*time.Second {
 					askAll(f, fmt.Sprint("r", time.Since(begun)))
 				}
-				Expect(f.upstreams.times(resting)).To(Equal(1))
+				Expect(f.upstreams.sendCount(backingOff)).To(Equal(1))
 			}
 		})
 	})
 
-	It("are refused at once where all that have what they need rest, with the time until the first of them may be asked", func() {
+	It("are refused at once if all suitable upstreams are in backoff, with the time until the first of them may get requests", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
-			f.upstreams.tells = func(string, int) fleet.Notice { return fleet.Notice{Rest: rest} }
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
+			f.upstreams.notice = func(string, int) fleet.Notice { return fleet.Notice{Rest: backoff} }
 			f.ask(context.Background(), "first", "/safe/x", "")
-			sent := len(f.upstreams.on)
+			sent := len(f.upstreams.sentTo)
 			Expect(sent).To(Equal(4))
 			time.Sleep(time.Second)
 			begun := time.Now()
 			got := f.ask(context.Background(), "late", "/safe/x", "")
 			Expect(time.Since(begun)).To(BeZero())
 			Expect(got.Code).To(Equal(http.StatusServiceUnavailable))
-			Expect(got.Body.String()).To(ContainSubstring(string(reasonResting)))
+			Expect(got.Body.String()).To(ContainSubstring(string(reasonBackoff)))
 			wait, err := strconv.ParseFloat(got.Header().Get("Retry-After"), 64)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(wait).To(BeNumerically("~", 2.25, 0.26))
-			Expect(f.upstreams.on).To(HaveLen(sent))
+			Expect(f.upstreams.sentTo).To(HaveLen(sent))
 		})
 	})
 
-	It("wait for the end of a rest that comes in time, and are served then", func() {
+	It("wait for a backoff that ends in time, and are served then", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
-			f.upstreams.tells = func(_ string, n int) fleet.Notice {
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
+			f.upstreams.notice = func(_ string, n int) fleet.Notice {
 				if n == 1 {
 					return fleet.Notice{Rest: 100 * time.Millisecond}
 				}
 				return fleet.Notice{}
 			}
 			Expect(f.ask(context.Background(), "first", "/safe/x", "").Code).To(Equal(http.StatusServiceUnavailable))
-			Expect(f.upstreams.on).To(HaveLen(4))
+			Expect(f.upstreams.sentTo).To(HaveLen(4))
 			begun := time.Now()
 			Expect(f.ask(context.Background(), "late", "/safe/x", "").Code).To(Equal(http.StatusOK))
 			Expect(time.Since(begun)).To(BeNumerically("~", 100*time.Millisecond, 60*time.Millisecond))
 		})
 	})
 
-	It("have an adapter loaded elsewhere while the engine that has it rests", func() {
+	It("have an adapter loaded elsewhere while the engine that has it is in backoff", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			with := fleet.Upstream{ID: "with", Service: "engines", Models: []fleet.Holding{{Model: "m", Adapters: []string{"a"}}}, Revision: 2}
 			without := fleet.Upstream{ID: "without", Service: "engines", Models: []fleet.Holding{{Model: "m"}}, Revision: 2}
 			f.Directory.SetList(2, []fleet.Upstream{with, without}, time.Now())
-			f.upstreams.tells = only("with", fleet.Notice{Rest: rest})
+			f.upstreams.notice = noticeFrom("with", fleet.Notice{Rest: backoff})
 			var avoided []string
 			f.Ensure = func(_ context.Context, want residency.Want) (residency.EnsureResult, error) {
 				avoided = want.Avoid
 				return residency.EnsureResult{Upstream: "without", Residency: fleet.Residency{Adapters: map[string][]string{"m": {"a"}}, Sequence: 1}, Term: 1}, nil
 			}
 			f.ask(context.Background(), "r0", "/stream/x", "m")
-			f.Directory.Note("with", fleet.Notice{Rest: rest})
+			f.Directory.Note("with", fleet.Notice{Rest: backoff})
 			ask := &Request{ID: "r1", Arrived: time.Now(), Deadline: time.Now().Add(time.Second), Path: "/stream/x", Host: "h", Header: http.Header{}, Model: "m", Adapter: "a"}
 			c := &caller{ResponseRecorder: httptest.NewRecorder()}
 			Expect(f.Serve(context.Background(), c, ask)).To(Succeed())
@@ -160,14 +161,14 @@
 		})
 	})
 
-	It("choose anew if the chosen upstream told it while the choice waited for another box", func() {
+	It("choose again if the chosen upstream asked for a backoff while the choice waited for another box", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			chosen := ""
 			f.Reserve = func(_ context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error) {
 				if chosen == "" {
 					chosen = asked.Engine
-					f.Directory.Note(chosen, fleet.Notice{Rest: rest})
+					f.Directory.Note(chosen, fleet.Notice{Rest: backoff})
 				}
 				return dispatch.ReservationAnswer{Taken: true}, nil
 			}
@@ -178,23 +179,23 @@
 				}
 				Expect(f.Serve(context.Background(), &caller{ResponseRecorder: httptest.NewRecorder()}, request)).To(Succeed())
 			}
-			Expect(f.upstreams.times(chosen)).To(BeZero())
+			Expect(f.upstreams.sendCount(chosen)).To(BeZero())
 		})
 	})
 
-	It("that go to one of them all the same have a line that names the request, the upstream and what it goes against", func() {
+	It("that are sent to one of them anyway are logged with the request, the upstream and its notice", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			core, lines := observer.New(zap.InfoLevel)
 			f.Log = zap.New(core)
 			var noted []fleet.Noted
 			f.Directory.OnNotice = func(n fleet.Noted) { noted = append(noted, n) }
-			f.Directory.Note("p0", fleet.Notice{Leaving: true, Rest: rest})
+			f.Directory.Note("p0", fleet.Notice{Leaving: true, Rest: backoff})
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Kinds()).To(Equal([]string{"leaving", "rest"}))
 			time.Sleep(time.Second)
 			r := &inflight{gateway: f.Gateway, request: &Request{ID: "r"}, route: &routes.Route{}}
-			r.noteAgainst(dispatch.Choice{Upstream: f.Directory.Get("p0")})
+			r.logSentAgainstNotice(dispatch.Choice{Upstream: f.Directory.Get("p0")})
 			against := lines.FilterMessage("sent against notice").All()
 			Expect(against).To(HaveLen(1))
 			fields := against[0].ContextMap()
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -10,35 +10,36 @@
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 )
 
-// outcome is what became of an attempt, as far as the head of the answer shows it.
+// outcome is the result of an attempt, as far as the head of the answer shows it.
 //
-//	outcome      reached  may have run  outlier ejection  directory
-//	abandoned    no       no            nothing           nothing
-//	not sent     no       no            failure           unreachable
-//	broken       yes      yes           failure           nothing
-//	elsewhere    yes      no            nothing           lacks the model, or is gone
-//	not executed yes      no            failure at rest   lacks the adapter, if one is needed
-//	failed       yes      yes           failure           nothing
-//	answered     yes      yes           by the body       nothing
+//	outcome      reached  may have run  outlier ejection    directory
+//	abandoned    no       no            nothing             nothing
+//	not sent     no       no            failure             unreachable
+//	broken       yes      yes           failure             nothing
+//	misdirected  yes      no            nothing             lacks the model, or is gone
+//	not executed yes      no            failure if backoff  lacks the adapter, if one is needed
+//	failed       yes      yes           failure             nothing
+//	answered     yes      yes           by the body         nothing
 //
-// Any answer resets the backoff of an upstream that was unreachable. All outcomes but abandoned and
-// answered write the line "attempt failed".
+// "failure if backoff" is a failure if the upstream asked for a backoff. Any answer resets the time for which an
+// upstream is avoided after a refused connection, which doubles with each one. All outcomes except abandoned and
+// answered write the log line "attempt failed".
 type outcome int
 
 const (
-	// outcomeAbandoned: the caller left during the attempt, which shows nothing of the upstream.
+	// outcomeAbandoned: the caller disconnected during the attempt. This says nothing about the upstream.
 	outcomeAbandoned outcome = iota
-	// outcomeNotSent: nothing of the request reached the upstream.
+	// outcomeNotSent: no part of the request reached the upstream.
 	outcomeNotSent
-	// outcomeBroken: the request was sent and no answer came, also because the deadline passed.
+	// outcomeBroken: the request was sent and no answer arrived; also when the deadline passed.
 	outcomeBroken
-	// outcomeElsewhere: another upstream has the address, or this one lacks the model.
-	outcomeElsewhere
+	// outcomeMisdirected: another upstream now has the address, or this one lacks the model.
+	outcomeMisdirected
 	// outcomeNotExecuted: the upstream did not execute the request and never will.
 	outcomeNotExecuted
 	// outcomeFailed: the upstream answered with a status of 500 or above.
 	outcomeFailed
-	// outcomeAnswered: any other answer. Whether its body is whole shows later.
+	// outcomeAnswered: any other answer. Whether its body is complete is known only later.
 	outcomeAnswered
 )
 
@@ -52,7 +53,7 @@
 	case err != nil:
 		return outcomeBroken
 	case answer.Misdirected:
-		return outcomeElsewhere
+		return outcomeMisdirected
 	case answer.NotExecuted:
 		return outcomeNotExecuted
 	case answer.Status >= http.StatusInternalServerError:
@@ -61,8 +62,9 @@
 	return outcomeAnswered
 }
 
-// recordHead records the outcome of an attempt that took so long to the head of its answer.
-func (r *inflight) recordHead(ctx context.Context, choice dispatch.Choice, answer *Answer, err error, took time.Duration) {
+// recordOutcome records the outcome of an attempt. took is the time until the head of its answer, or until the
+// error.
+func (r *inflight) recordOutcome(ctx context.Context, choice dispatch.Choice, answer *Answer, err error, took time.Duration) {
 	id := choice.Upstream.ID
 	directory := r.gateway.Directory
 	if err == nil {
@@ -75,14 +77,15 @@
 		directory.MarkUnreachable(id)
 		r.attemptFailed(choice, 0, took, err)
 	case outcomeBroken:
-		r.broke(ctx, choice, 0, took, err)
-	case outcomeElsewhere:
+		r.recordBroken(ctx, choice, 0, took, err)
+	case outcomeMisdirected:
 		r.logAttempt(choice, answer.Status, took, nil)
 		directory.MarkMissing(id, r.need.Model, r.need.Adapter)
 	case outcomeNotExecuted:
 		if r.endpoint.AskedForRest() {
-			// Boxes tell each other of failures, so that those that it has not asked yet prefer others: at 60 boxes before 90 engines
-			// of which 23 turn all away for 6 s, 551 of 15,120 requests were not served without this (replay of internal/node).
+			// Boxes tell each other of failures, so that boxes that have not sent to this upstream yet prefer others. In a
+			// replay in internal/node with 60 boxes and 90 engines, of which 23 reject all requests for 6 s, 551 of 15,120
+			// requests were not served without this.
 			r.gateway.Loads.RecordOutcome(id, false)
 		}
 		r.logAttempt(choice, answer.Status, took, nil)
@@ -94,7 +97,7 @@
 	}
 }
 
-// count counts what the limits of retries depend on.
+// count updates the counters that the retry limits depend on.
 func (a *attempts) count(result outcome) {
 	switch result {
 	case outcomeAbandoned:
@@ -102,18 +105,18 @@
 	case outcomeBroken, outcomeFailed, outcomeAnswered:
 		a.reached++
 		a.mayHaveRun++
-	case outcomeElsewhere, outcomeNotExecuted:
+	case outcomeMisdirected, outcomeNotExecuted:
 		a.reached++
 	}
 }
 
-// attemptFailed counts a failure against the upstream and logs it.
+// attemptFailed records a failure of the upstream and logs it.
 func (r *inflight) attemptFailed(choice dispatch.Choice, status int, took time.Duration, err error) {
 	r.gateway.Loads.RecordOutcome(choice.Upstream.ID, false)
 	r.logAttempt(choice, status, took, err)
 }
 
-// attemptSucceeded counts a whole answer in favour of the upstream.
+// attemptSucceeded records a complete answer of the upstream.
 func (r *inflight) attemptSucceeded(choice dispatch.Choice) {
 	r.gateway.Loads.RecordOutcome(choice.Upstream.ID, true)
 }
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -20,13 +20,13 @@
 		},
 		Entry("not sent", nil, ErrNotSent, outcomeNotSent, attempts{}),
 		Entry("broken", nil, ErrBroken, outcomeBroken, attempts{reached: 1, mayHaveRun: 1}),
-		Entry("elsewhere", &Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true, Misdirected: true}, nil, outcomeElsewhere, attempts{reached: 1}),
+		Entry("misdirected", &Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true, Misdirected: true}, nil, outcomeMisdirected, attempts{reached: 1}),
 		Entry("not executed", &Answer{Status: http.StatusServiceUnavailable, NotExecuted: true}, nil, outcomeNotExecuted, attempts{reached: 1}),
 		Entry("failed", &Answer{Status: http.StatusInternalServerError}, nil, outcomeFailed, attempts{reached: 1, mayHaveRun: 1}),
 		Entry("answered", &Answer{Status: http.StatusBadRequest}, nil, outcomeAnswered, attempts{reached: 1, mayHaveRun: 1}),
 	)
 
-	It("is not held against an upstream when the caller left, but is when the deadline passed", func() {
+	It("does not count against an upstream when the caller left, but does when the deadline passed", func() {
 		spectest.Bubble(func() {
 			left, leave := context.WithCancel(context.Background())
 			leave()
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -13,15 +13,15 @@
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 )
 
-// maxHeldAnswer is the size in bytes up to which a plain answer is held until it is whole, so that a
-// broken one can be replaced by another upstream's. A longer one is passed on as it comes.
-const maxHeldAnswer = 1 << 20
+// maxBufferedAnswer is the size in bytes up to which a plain answer is buffered until it is complete, so that a
+// broken one can be replaced by the answer of another upstream. A longer one is passed on as it arrives.
+const maxBufferedAnswer = 1 << 20
 
-// servePlain answers a request whose answer comes in one piece.
+// servePlain serves a request whose answer is not a stream.
 func (r *inflight) servePlain(ctx context.Context, w http.ResponseWriter) error {
 	// failed is the latest failure that an upstream answered; it goes to the caller if no other
 	// upstream does better.
-	var failed *heldAnswer
+	var failed *bufferedAnswer
 	lastFailure := reasonBroken
 	for {
 		if denied := r.takeAttempt(); denied != "" {
@@ -31,18 +31,18 @@
 		if refused != nil {
 			return r.finish(w, failed, refused)
 		}
-		held, err := r.attemptPlain(ctx, choice)
+		buffered, err := r.attemptPlain(ctx, choice)
 		switch {
-		case err == nil && r.mayReplace(held.status):
-			failed = held
+		case err == nil && r.mayReplace(buffered.status):
+			failed = buffered
 		case err == nil:
-			return r.finish(w, held, nil)
+			return r.finish(w, buffered, nil)
 		case ctx.Err() != nil:
-			return r.finish(w, nil, r.ended(ctx))
+			return r.finish(w, nil, r.contextRefusal(ctx))
 		case !r.mayRetry(err):
 			return r.finish(w, nil, mayHaveRun(reasonBroken))
 		case notExecuted(err):
-			lastFailure = reasonNotAccepted
+			lastFailure = reasonNotExecuted
 		default:
 			lastFailure = reasonBroken
 		}
@@ -50,7 +50,7 @@
 }
 
 // attemptPlain sends the request once and returns the whole answer, whatever its status.
-func (r *inflight) attemptPlain(ctx context.Context, choice dispatch.Choice) (*heldAnswer, error) {
+func (r *inflight) attemptPlain(ctx context.Context, choice dispatch.Choice) (*bufferedAnswer, error) {
 	answer, ticket, err := r.send(ctx, choice, "")
 	defer ticket.End()
 	if err != nil {
@@ -61,72 +61,73 @@
 		return nil, errNotExecuted
 	}
 	ticket.Started()
-	held, err := r.hold(answer)
+	buffered, err := r.bufferAnswer(answer)
 	ticket.End()
 	if err != nil {
-		r.broke(ctx, choice, answer.Status, 0, err)
+		r.recordBroken(ctx, choice, answer.Status, 0, err)
 		return nil, err
 	}
-	r.answered()
-	if held.status < http.StatusInternalServerError {
+	r.noteAnswered()
+	if buffered.status < http.StatusInternalServerError {
 		r.attemptSucceeded(choice)
 	}
-	return held, nil
+	return buffered, nil
 }
 
-// heldAnswer is an answer that was read before the caller gets any of it.
-type heldAnswer struct {
+// bufferedAnswer is an answer that is read before any of it is passed to the caller.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is what follows body of an answer that is too long to be held; nil if body is all.
-	rest io.ReadCloser
+	// remainder reads the rest of an answer that is too long to be buffered; nil if body is complete.
+	remainder io.ReadCloser
 }
 
-// hold reads an answer until it is whole, too long to be held, or more than this box may hold now. The error is ErrBroken.
-func (r *inflight) hold(answer *Answer) (*heldAnswer, error) {
-	held := &heldAnswer{status: answer.Status, header: answer.Header}
+// bufferAnswer reads an answer until it is complete, too long to be buffered, or exceeds the box's memory budget.
+// The error is ErrBroken.
+func (r *inflight) bufferAnswer(answer *Answer) (*bufferedAnswer, error) {
+	buffered := &bufferedAnswer{status: answer.Status, header: answer.Header}
 	for {
-		piece := make([]byte, min(bodyPiece, max(bytes.MinRead, len(held.body))))
-		n, err := answer.Body.Read(piece)
-		held.body = append(held.body, piece[:n]...)
-		taken := r.gateway.Holdings.Take(int64(n))
+		chunk := make([]byte, min(bodyChunkSize, max(bytes.MinRead, len(buffered.body))))
+		n, err := answer.Body.Read(chunk)
+		buffered.body = append(buffered.body, chunk[:n]...)
+		taken := r.gateway.Holdings.Reserve(int64(n))
 		if taken {
-			r.holds += int64(n)
+			r.bufferedBytes += int64(n)
 		}
 		if err == io.EOF {
 			_ = answer.Body.Close()
-			return held, nil
+			return buffered, nil
 		}
 		if err != nil {
 			_ = answer.Body.Close()
 			return nil, errors.WithType(err, ErrBroken)
 		}
-		if !taken || len(held.body) > maxHeldAnswer {
-			held.rest = answer.Body
-			return held, nil
+		if !taken || len(buffered.body) > maxBufferedAnswer {
+			buffered.remainder = answer.Body
+			return buffered, nil
 		}
 	}
 }
 
-// releaseHeld gives up what the request's answers held of the box's memory.
-func (r *inflight) releaseHeld() { r.gateway.Holdings.Give(r.holds) }
+// releaseBuffered returns the memory of the request's buffered answers to the box's budget.
+func (r *inflight) releaseBuffered() { r.gateway.Holdings.Release(r.bufferedBytes) }
 
-// discard reads an answer that nobody needs, so that its connection can be used again. An error
-// needs no log line: it only costs the connection.
+// discard reads and drops an answer, so that its connection can be reused. An error is not logged: it only costs
+// the connection.
 func discard(answer *Answer) {
-	_, _ = io.CopyN(io.Discard, answer.Body, maxHeldAnswer)
+	_, _ = io.CopyN(io.Discard, answer.Body, maxBufferedAnswer)
 	_ = answer.Body.Close()
 }
 
-// finish writes the final answer: the upstream's if there is one, and the refusal otherwise.
-func (r *inflight) finish(w http.ResponseWriter, held *heldAnswer, refused *refusal) error {
-	if held == nil {
+// finish writes the final answer: the upstream's if there is one, otherwise the refusal.
+func (r *inflight) finish(w http.ResponseWriter, buffered *bufferedAnswer, refused *refusal) error {
+	if buffered == nil {
 		r.refuse(w, refused)
 		return nil
 	}
-	err := held.write(w)
-	r.logEnd(held.status, "", err)
+	err := buffered.write(w)
+	r.logEnd(buffered.status, "", err)
 	if err != nil {
 		return ErrAborted
 	}
@@ -134,18 +135,18 @@
 }
 
 // write passes the answer on.
-func (h *heldAnswer) write(w http.ResponseWriter) error {
-	maps.Copy(w.Header(), h.header)
-	if h.rest == nil {
-		w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
+func (b *bufferedAnswer) write(w http.ResponseWriter) error {
+	maps.Copy(w.Header(), b.header)
+	if b.remainder == nil {
+		w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
 	}
-	w.WriteHeader(h.status)
-	_, err := w.Write(h.body)
-	if h.rest != nil {
+	w.WriteHeader(b.status)
+	_, err := w.Write(b.body)
+	if b.remainder != nil {
 		if err == nil {
-			_, err = io.Copy(w, h.rest)
+			_, err = io.Copy(w, b.remainder)
 		}
-		_ = h.rest.Close()
+		_ = b.remainder.Close()
 	}
 	return err
 }
--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -10,30 +10,33 @@
 )
 
 const (
-	// maxRateAsks is how many keepers of bounded upstreams one request asks; then it goes to others alone. Each costs a call.
+	// maxRateAsks is the number of rate grants that one request asks for. After that it goes only to upstreams
+	// without a rate bound. Each ask costs a call.
 	maxRateAsks = 2
-	// keeperRetry is after how long a keeper that gave no answer is asked again.
-	keeperRetry = time.Second
+	// keeperRetryInterval is the time after which a keeper that did not answer is asked again.
+	keeperRetryInterval = time.Second
 )
 
-// rateGrant is the keeper's grant of one request to a bounded upstream.
+// rateGrant is a keeper's permission to send one request to a rate-bounded upstream. The keeper of an upstream is
+// the box that counts the requests to it for all boxes.
 type rateGrant struct {
 	upstream string
 	at       time.Time
 }
 
-// rateAsks is what a request asked of the keepers of bounded upstreams.
-type rateAsks struct {
-	// coldStart is for how long upstreams of the service are cold after a start, and coldPerSecond what they bear; 0 sets no bound.
+// rateState holds the service's limit for cold engines and the rate grants that a request has asked for.
+type rateState struct {
+	// coldStart is how long upstreams of the service are cold after a start, and coldPerSecond how many requests
+	// per second they can handle then; if coldPerSecond is 0, cold upstreams have no bound.
 	coldStart     time.Duration
 	coldPerSecond float64
-	// asked counts the asks, and grant is the latest that was granted.
+	// asked counts the grants asked for, and grant is the latest one granted.
 	asked int
 	grant rateGrant
 }
 
-// rateBound returns what bounds the requests of all boxes to an upstream, and until when this request must not go there; zero, and it may
-// ask.
+// rateBound returns the bound on the requests of all boxes to an upstream, and until when this request must not be
+// sent there. If until is zero, the request may be sent there: with a grant if there is a bound.
 func (r *inflight) rateBound(upstream string, now time.Time) (bound fleet.RateBound, until time.Time) {
 	bound = r.gateway.Directory.RateBound(upstream, r.rate.coldStart)
 	bound.Cold = bound.Cold && r.rate.coldPerSecond > 0
@@ -48,9 +51,10 @@
 	return bound, time.Time{}
 }
 
-// permitted reports whether the request may go to the chosen upstream: one that is cold, or names a limit, gets no more requests than it
-// takes over all boxes, and its keeper is asked for each. One that is not granted is left out until the keeper may be asked again.
-func (r *inflight) permitted(ctx context.Context, choice dispatch.Choice) bool {
+// acquireRateGrant reports whether the request may go to the chosen upstream. An upstream that is cold or
+// announces a rate limit gets no more requests from all boxes together than it accepts, so its keeper is asked for
+// a grant for each request. An upstream without a grant is left out until the keeper may be asked again.
+func (r *inflight) acquireRateGrant(ctx context.Context, choice dispatch.Choice) bool {
 	id := choice.Upstream.ID
 	bound, _ := r.rateBound(id, time.Now())
 	if !bound.Any() {
@@ -64,9 +68,9 @@
 	grant, err := r.gateway.AskRate(ctx, ask)
 	now := time.Now()
 	if err != nil {
-		grant = dispatch.RateGrant{Wait: keeperRetry} // Whoever asks the keeper logs when it loses and regains it.
+		grant = dispatch.RateGrant{Wait: keeperRetryInterval} // The caller of the keeper logs when it loses and regains it.
 	}
-	r.gateway.countBounded(bound, grant.Granted)
+	r.gateway.countRateAsk(bound, grant.Granted)
 	if !grant.Granted {
 		r.gateway.Directory.HoldBack(id, now.Add(grant.Wait))
 		return false
@@ -75,9 +79,9 @@
 	return true
 }
 
-// takeGrant reports whether the request may be sent to an upstream at this moment, and uses its grant if that is bounded. It may have come
-// to be since it was chosen.
-func (r *inflight) takeGrant(upstream string) bool {
+// useRateGrant reports whether the request may be sent to an upstream right now, and uses up its grant. It checks
+// the bound again, since the upstream may have become rate-bounded after it was chosen.
+func (r *inflight) useRateGrant(upstream string) bool {
 	now := time.Now()
 	granted := r.rate.grant
 	r.rate.grant = rateGrant{}
@@ -88,8 +92,8 @@
 	return !bound.Any()
 }
 
-// countBounded counts an ask for a request to a bounded upstream.
-func (g *Gateway) countBounded(bound fleet.RateBound, granted bool) {
+// countRateAsk counts a request for a rate grant.
+func (g *Gateway) countRateAsk(bound fleet.RateBound, granted bool) {
 	kind := "limited"
 	if bound.Cold {
 		kind = "cold"
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -8,58 +8,62 @@
 	"ospreymoor.example/ospreymoor/pkg/customers"
 )
 
-// reason is why a request gets no answer from an upstream. Logs and metrics carry it.
+// reason is why a request gets no answer from an upstream. It appears in logs and metrics.
 type reason string
 
-// The reasons. The comment beside each is the state that it stands for.
+// The reasons. Each comment describes the state that the reason stands for.
 const (
 	// reasonNoConfig: this box has no route table yet.
 	reasonNoConfig reason = "no configuration yet"
 	// reasonNoRoute: the route table has no route for the host and path.
 	reasonNoRoute reason = "no route"
-	// reasonNoUpstream: the service has no usable upstream that was not tried yet.
+	// reasonNoUpstream: the service has no usable upstream that this request has not tried yet.
 	reasonNoUpstream reason = "no back end"
 	// reasonNoModel: no usable engine holds the model.
 	reasonNoModel reason = "model not loaded"
 	// reasonNoAdapter: engines hold the model, but none of them the adapter.
 	reasonNoAdapter reason = "adapter not loaded"
-	// reasonUnreachable: the engines that hold all that is needed were unreachable a moment ago.
+	// reasonUnreachable: the upstreams that hold all that is needed were unreachable, or reported it missing, a
+	// moment ago.
 	reasonUnreachable reason = "back ends that have it do not answer"
-	// reasonResting: the upstreams that have all that is needed asked this box for rest.
-	reasonResting reason = "back ends want rest"
-	// reasonCold: the engines that have all that is needed are cold, and get as much as they bear.
+	// reasonBackoff: the upstreams that hold all that is needed asked this box for a backoff, in which they get no
+	// requests.
+	reasonBackoff reason = "back ends want rest"
+	// reasonCold: the engines that hold all that is needed are cold and already get as many requests as they can
+	// handle.
 	reasonCold reason = "back ends are cold"
-	// reasonLimited: the upstreams that have all that is needed name limits, and get as much as they take.
+	// reasonLimited: the upstreams that hold all that is needed announce rate limits and already get as many
+	// requests as those allow.
 	reasonLimited reason = "back ends limit requests"
 	// reasonRegion: no upstream of the service is in a region where the request may be served.
 	reasonRegion reason = "no back end in an allowed region"
-	// reasonEvacuated: all upstreams of the service that are left are in evacuated halls.
+	// reasonEvacuated: all remaining upstreams of the service are in evacuated halls.
 	reasonEvacuated reason = "halls evacuated"
-	// reasonFull: the predicted wait at the best engine is over the limit of admission.
+	// reasonFull: the predicted wait at the best engine exceeds the admission limit.
 	reasonFull reason = "back ends full"
-	// reasonBroken: an attempt may have run, and its answer was lost or broken.
+	// reasonBroken: an attempt may have run, and its answer was lost or incomplete.
 	reasonBroken reason = "answer broken"
-	// reasonNotAccepted: the latest attempt was not executed by its upstream.
-	reasonNotAccepted reason = "not executed"
-	// reasonAttempts: the request has no attempt left.
+	// reasonNotExecuted: the upstream of the latest attempt did not execute it.
+	reasonNotExecuted reason = "not executed"
+	// reasonAttempts: the request has no attempts left.
 	reasonAttempts reason = "attempts used up"
-	// reasonBudget: this box's share of the service's retries is spent.
+	// reasonBudget: this box has spent its share of the service's retry budget.
 	reasonBudget reason = "retry budget used up"
 	// reasonTimeout: the deadline of the request passed.
 	reasonTimeout reason = "time is over"
 	// reasonCallerLeft: the caller closed its connection.
 	reasonCallerLeft reason = "caller left"
-	// reasonOverQuota: the customer's quota over all boxes is spent.
+	// reasonOverQuota: the customer has spent its quota over all boxes.
 	reasonOverQuota reason = "over quota"
-	// reasonCrashes: upstreams crashed under the request one after the other, at whatever box it came.
+	// reasonCrashes: several upstreams in a row crashed under the request, at whichever boxes it arrived.
 	reasonCrashes reason = "upstreams crash under it"
-	// reasonMemory: this box holds as much for callers as it may.
+	// reasonMemory: this box uses as much memory for callers as it may.
 	reasonMemory reason = "box holds too much"
-	// reasonStopping: this box drains.
+	// reasonStopping: this box is draining.
 	reasonStopping reason = "machine stops"
 )
 
-// refusal is a final answer of the gateway itself.
+// refusal is a final answer that the gateway itself gives.
 //
 //	what is known                     status  Retry-After
 //	no upstream ran the request       503     retryAfter
@@ -67,27 +71,27 @@
 //	it may have run, deadline passed  504     none
 //	it may have run, any other cause  502     none
 //	no key, or one of no customer     401     none
-//	the customer's quota is spent     429     until it is not
+//	the customer's quota is spent     429     until the quota allows the request
 //	the caller left                   499     nothing is written; the status is only logged
 //
-// A request that may run any number of times counts as one that no upstream ran.
+// A request that may run any number of times is treated as one that no upstream ran.
 type refusal struct {
 	reason reason
 	status int
-	// retryAfter is when the caller may send the request again; 0 if nothing is promised.
+	// retryAfter is after how long the caller may send the request again; 0 if unknown.
 	retryAfter time.Duration
 }
 
-// statusCallerLeft is the customary status in logs for a caller that closed its connection.
+// statusCallerLeft is the status that is commonly logged for a client that closed its connection.
 const statusCallerLeft = 499
 
-// notRun is the refusal of a request that no upstream ran. The cause is expected to be gone after
-// expected; 0 if nothing is known of that.
+// notRun returns the refusal of a request that no upstream ran. expected is the time until the cause is expected
+// to be gone; 0 if unknown.
 func notRun(cause reason, expected time.Duration) *refusal {
 	return &refusal{reason: cause, status: http.StatusServiceUnavailable, retryAfter: retryAfter(cause, expected)}
 }
 
-// mayHaveRun is the refusal of a request that may run only once and may have run.
+// mayHaveRun returns the refusal of a request that may run only once and may have run.
 func mayHaveRun(cause reason) *refusal {
 	if cause == reasonTimeout {
 		return &refusal{reason: cause, status: http.StatusGatewayTimeout}
@@ -95,43 +99,45 @@
 	return &refusal{reason: cause, status: http.StatusBadGateway}
 }
 
-// noRoute is the refusal of a request that the route table does not know.
+// noRoute returns the refusal of a request that matches no route.
 func noRoute() *refusal {
 	return &refusal{reason: reasonNoRoute, status: http.StatusNotFound}
 }
 
-// unauthorized is the refusal of a request whose key names no customer.
+// unauthorized returns the refusal of a request whose key identifies no customer.
 func unauthorized(rejected customers.Rejection) *refusal {
 	return &refusal{reason: reason(rejected), status: http.StatusUnauthorized}
 }
 
-// overQuota is the refusal of a request whose customer has spent its quota. It has no retry-after if the request is too
-// dear at any time.
+// overQuota returns the refusal of a request whose customer has spent its quota. It has no Retry-After if the
+// request costs more than the quota ever allows.
 func overQuota(verdict customers.Verdict) *refusal {
 	return &refusal{reason: reasonOverQuota, status: http.StatusTooManyRequests, retryAfter: max(0, verdict.RetryAfter)}
 }
 
-// callerLeft ends a request whose caller closed its connection.
+// callerLeft returns the refusal of a request whose caller closed its connection.
 func callerLeft() *refusal {
 	return &refusal{reason: reasonCallerLeft, status: statusCallerLeft}
 }
 
-// The least retry-after of refusals.
+// The minimum Retry-After of refusals.
 const (
-	// retrySoon is for a cause that another box or another attempt does not meet.
+	// retrySoon is for a cause that another box or another attempt does not run into.
 	retrySoon = 50 * time.Millisecond
 	// retryWhenFull is for engines that are busy for longer than the target allows.
 	retryWhenFull = 150 * time.Millisecond
-	// retryWhenLimited is for upstreams that turned the request down until no attempt was left.
+	// retryWhenLimited is for a limit that was reached: the request's attempts, the retry budget or this box's
+	// memory.
 	retryWhenLimited = 300 * time.Millisecond
-	// retryWhenEvacuated is for halls that an operator has evacuated and regions without upstreams, which last seconds at least.
+	// retryWhenEvacuated is for halls that an operator has evacuated and for regions without upstreams. Both last
+	// for seconds at least.
 	retryWhenEvacuated = time.Second
-	// retryWhenConfigured is for a box that has just started.
+	// retryWhenConfigured is for a box that has just started and has no route table.
 	retryWhenConfigured = 500 * time.Millisecond
 )
 
-// retryAfter is the expected time until the cause of a refusal is gone, but at least the time that
-// its cause has in this table.
+// retryAfter returns the expected time until the cause of a refusal is gone, but at least the minimum for that
+// cause.
 func retryAfter(cause reason, expected time.Duration) time.Duration {
 	least := retrySoon
 	switch cause {
@@ -147,8 +153,8 @@
 	return max(least, expected)
 }
 
-// write sends the answer. A write that fails needs no log line: the caller is gone, and the refusal
-// is logged with its reason anyway.
+// write sends the refusal to the caller. A failed write is not logged: the caller is gone, and the refusal is
+// logged with its reason anyway.
 func (r *refusal) write(w http.ResponseWriter) {
 	header := w.Header()
 	r.writeHead(header)
@@ -159,7 +165,7 @@
 	_, _ = w.Write([]byte(body))
 }
 
-// writeHead sets what tells the caller how to come again.
+// writeHead sets the headers that tell the caller how and when to try again.
 func (r *refusal) writeHead(header http.Header) {
 	if r.status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -26,7 +26,7 @@
 		Entry("any other", reasonNoUpstream, time.Duration(0), 50*time.Millisecond),
 	)
 
-	DescribeTable("promises nothing where the request may have run or has no route",
+	DescribeTable("has no Retry-After where the request may have run or has no route",
 		func(refused *refusal, status int) {
 			answer := httptest.NewRecorder()
 			refused.write(answer)
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -7,25 +7,26 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// mayServe reports whether upstreams in a hall may serve the request: its route and its customer may each be bound to regions, and both
-// bind. A hall whose region is not known serves only what may be served anywhere.
+// mayServe reports whether upstreams in a hall may serve the request. Its route and its customer may each be
+// restricted to regions, and both restrictions apply. A hall whose region is unknown serves only requests without
+// restrictions.
 func (r *inflight) mayServe(hall string) bool {
-	if !r.bound {
+	if !r.regionBound {
 		return true
 	}
 	region := r.gateway.Regions[hall]
 	return r.route.Regions.Allow(region) && (r.customer == nil || r.customer.Regions.Allow(region))
 }
 
-// isBound reports whether requests of a customer on a route are bound to regions.
-func isBound(route *routes.Route, customer *customers.Customer) bool {
+// isRegionBound reports whether requests of a customer on a route are restricted to regions.
+func isRegionBound(route *routes.Route, customer *customers.Customer) bool {
 	return len(route.Regions) > 0 || customer != nil && len(customer.Regions) > 0
 }
 
-// allowedHalls lists the halls whose upstreams may serve the request, sorted; none if all may. A request that none may serve has no
-// candidate, and never asks for them.
+// allowedHalls returns the sorted halls whose upstreams may serve the request; nil if all may. A request that no
+// hall may serve has no candidate and never gets here.
 func (r *inflight) allowedHalls() []string {
-	if !r.bound {
+	if !r.regionBound {
 		return nil
 	}
 	var halls []string
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -17,8 +17,9 @@
 )
 
 var _ = Describe("requests that may be served in some regions only", func() {
-	// withRegions has upstream n of each service in hall n, halls 0 and 1 in region "near" and 2 in "far"; the region of hall 3 is not known.
-	withRegions := func(choose func(string, int) fate, route, customer customers.Regions) *fixture {
+	// withRegions puts upstream n of each service into hall n. Halls 0 and 1 are in region "near", hall 2 is in
+	// "far", and the region of hall 3 is unknown.
+	withRegions := func(choose func(string, int) behavior, route, customer customers.Regions) *fixture {
 		f := newFixture(choose, 1)
 		f.Regions = map[string]string{"0": "near", "1": "near", "2": "far"}
 		var list []fleet.Upstream
@@ -59,16 +60,16 @@
 		return codes
 	}
 
-	DescribeTable("reach no upstream elsewhere: first, again, resumed, kept back", func(route, customer customers.Regions, allowed ...int) {
+	DescribeTable("reach no upstream in another region: when first sent, retried, resumed or delayed", func(route, customer customers.Regions, allowed ...int) {
 		spectest.Bubble(func() {
-			fates := 0
-			f := withRegions(func(string, int) fate {
-				fates++
-				return []fate{whole, brokenBody, refuses, fails, notSent, whole}[fates%6]
+			attempts := 0
+			f := withRegions(func(string, int) behavior {
+				attempts++
+				return []behavior{succeeds, brokenBody, refuses, fails, notSent, succeeds}[attempts%6]
 			}, route, customer)
 			askAll(f, 60)
 			for n := range 4 {
-				sent := f.upstreams.times(fmt.Sprint("p", n)) + f.upstreams.times(fmt.Sprint("e", n))
+				sent := f.upstreams.sendCount(fmt.Sprint("p", n)) + f.upstreams.sendCount(fmt.Sprint("e", n))
 				if len(allowed) > 0 && (n == allowed[0] || n == allowed[len(allowed)-1]) {
 					Expect(sent).To(BeNumerically(">", 0), "%d", n)
 				} else {
@@ -84,9 +85,9 @@
 		Entry("of a region without halls", customers.Regions{"nowhere"}, nil),
 	)
 
-	It("are refused at once with the reason where none is left, and none is asked for", func() {
+	It("are refused at once with the reason and a Retry-After if no upstream is left", func() {
 		spectest.Bubble(func() {
-			f := withRegions(func(string, int) fate { return whole }, customers.Regions{"nowhere"}, nil)
+			f := withRegions(func(string, int) behavior { return succeeds }, customers.Regions{"nowhere"}, nil)
 			for _, path := range paths {
 				begun := time.Now()
 				got := f.ask(context.Background(), path, path, map[bool]string{true: "m"}[path == "/stream/x" || path == "/strict/x"])
@@ -98,9 +99,9 @@
 		})
 	})
 
-	It("ask for a model in the halls that may serve them, though others hold it", func() {
+	It("ask for a model in the halls that may serve them", func() {
 		spectest.Bubble(func() {
-			f := withRegions(func(string, int) fate { return whole }, customers.Regions{"near"}, nil)
+			f := withRegions(func(string, int) behavior { return succeeds }, customers.Regions{"near"}, nil)
 			var wanted residency.Want
 			f.Ensure = func(_ context.Context, want residency.Want) (residency.EnsureResult, error) {
 				wanted = want
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -1,15 +1,15 @@
-// Package gateway serves the requests of callers: it finds the route, chooses an upstream, sends the
-// request, retries where that is safe, and passes the answer on. See Gateway.Serve for the way of a
-// request.
+// Package gateway serves the requests of callers. It finds the route, chooses an upstream, sends the request,
+// retries where that is safe, and passes the answer on. Gateway.Serve lists these steps and the files that
+// implement them.
 //
-// It owns the requests under way on this box, this box's share of the retry budget, and the drain of
-// its front. It relies on the route table (pkg/routes), the directory of upstreams (pkg/fleet), the
-// predicted waits (pkg/dispatch) and the order holder, which it asks for what no engine holds. It
-// knows no protocol of callers, upstreams or the platform: those are function fields.
+// The package owns the requests in flight on this box, this box's share of the retry budget, and the drain of its
+// HTTP front end. It relies on the route table (pkg/routes), the directory of upstreams (pkg/fleet), the predicted
+// waits (pkg/dispatch), and the order holder, which it asks to load models and adapters that no engine holds. It
+// knows no wire protocol of callers, upstreams or the platform: those are supplied as function fields.
 //
-// `ospreymoor node` uses it. Its look-alike of `ospreymoor serve` is internal/box. That one writes a
-// claim before a request that may run only once; here each attempt of a caller has an id of its own, so that no claim is
-// needed. Both limit customers: this one by the keys and quotas of pkg/customers.
+// `ospreymoor node` uses it. The counterpart in `ospreymoor serve` is internal/box. That package writes a claim
+// before a request that may run only once. Here each attempt of a caller has an id of its own, so no claim is
+// needed. Both limit customers; this package uses the keys and quotas of pkg/customers.
 package gateway
 
 import (
@@ -20,34 +20,34 @@
 	"ospreymoor.example/ospreymoor/pkg/dispatch"
 )
 
-// Request is a caller's request, whatever protocol it came by. It has as many fields as there are
-// things that a caller may give.
+// Request is a caller's request, whatever protocol it came by. It has one field for each thing that a caller may
+// specify.
 type Request struct {
-	// ID names this attempt of the caller; no two attempts share one.
+	// ID identifies this attempt of the caller; no two attempts share one.
 	ID      string
 	Arrived time.Time
 	// Deadline is when the caller stops waiting; zero if it gave none.
 	Deadline time.Time
-	// Method, URI, Host, Header and Body pass to the upstream unaltered.
+	// Method, URI, Host, Header and Body are passed to the upstream unaltered.
 	Method string
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Credential names the customer. Header has none of it.
+	// Credential identifies the customer. Header does not contain it.
 	Credential customers.Credential
-	// Path is the part of URI that routes are matched with.
+	// Path is the part of URI that is matched against routes.
 	Path string
 	// Model and Adapter are empty for plain services.
 	Model   string
 	Adapter string
-	// Prompt is the parts of the prompt that other requests may share, in their order.
+	// Prompt is the parts of the prompt that other requests may share, in order.
 	Prompt []dispatch.PromptPart
-	// PromptTokens and AnswerTokens are the sizes that the caller gave; 0 if it gave none.
+	// PromptTokens and AnswerTokens are the sizes that the caller stated; 0 if it stated none.
 	PromptTokens int
 	AnswerTokens int
-	// LengthGuess is the caller's guess of the answer's tokens; 0 if it made none.
+	// LengthGuess is the caller's estimate of the answer's length in tokens; 0 if it gave none.
 	LengthGuess int
-	// LastEventID is the last event that the caller has, if it resumes a stream.
+	// LastEventID is the id of the last event that the caller received, if it resumes a stream.
 	LastEventID string
 }
--- a/internal/gateway/reservations_test.go
+++ b/internal/gateway/reservations_test.go
@@ -23,38 +23,38 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// readingFleet is many boxes before a few engines that read prompts one after the other. Each box knows of the others' loads
-// what they were at the last exchange.
-type readingFleet struct {
+// promptFleet simulates many boxes and a few engines that read prompts one after the other. Each box knows the
+// loads of the other boxes as of the last exchange.
+type promptFleet struct {
 	boxes   []*Gateway
 	mu      sync.Mutex
 	read    map[string][]time.Time // When each prompt was read, by engine.
 	prompts int
-	// slow is how many of the engines take slowerBy as long, and within how long one reads in an event at most, at the speed of
-	// the others; 0 is no bound.
+	// slow is how many engines are slower by slowFactor. within is the longest that an engine reads prompts during
+	// one event, before slowFactor is applied; 0 sets no limit.
 	slow   int
 	within time.Duration
-	// longer has every fourth prompt be longer by this factor; 0 has all be alike.
+	// longer is the factor by which every fourth prompt is longer; 0 leaves all prompts alike.
 	longer float64
-	// long counts the prompts after which the streams at their engine had paused for longer than they may.
-	long int
-	// firsts is the sum of the times to the first event.
-	firsts time.Duration
+	// longPauses counts the prompts during which the streams at their engine paused for longer than the target.
+	longPauses int
+	// firstEventTimes is the sum of the times to the first event.
+	firstEventTimes time.Duration
 }
 
 const (
-	readingBoxes    = 60
-	readingEngines  = 10
-	readingTokens   = 9190
-	readingTime     = 242 * time.Millisecond
-	readingSteps    = 30 * time.Millisecond
-	readingExchange = 400 * time.Millisecond
-	readingGap      = 500 * time.Millisecond
-	slowerBy        = 1.3
+	readingBoxes     = 60
+	readingEngines   = 10
+	readingTokens    = 9190
+	readingTime      = 242 * time.Millisecond
+	readingSteps     = 30 * time.Millisecond
+	exchangeInterval = 400 * time.Millisecond
+	readingGap       = 500 * time.Millisecond
+	slowFactor       = 1.3
 )
 
-func newReadingFleet(reserve bool) *readingFleet {
-	f := &readingFleet{read: map[string][]time.Time{}}
+func newPromptFleet(reserve bool) *promptFleet {
+	f := &promptFleet{read: map[string][]time.Time{}}
 	reservations := dispatch.NewReservations()
 	engines := &routes.Engines{Slots: 64, CacheTokens: 1_000_000, EventTokens: 6, Models: []routes.Model{{Name: "m"}}}
 	table := routes.New(1, []routes.Route{{
@@ -87,8 +87,8 @@
 	return f
 }
 
-// send reads the prompt behind those that the engine has, and answers with a stream of half a second.
-func (f *readingFleet) send(_ context.Context, to *fleet.Endpoint, attempt Attempt) (*Answer, error) {
+// send reads the prompt after those that the engine already has, and answers with a stream of half a second.
+func (f *promptFleet) send(_ context.Context, to *fleet.Endpoint, attempt Attempt) (*Answer, error) {
 	f.mu.Lock()
 	now := time.Now()
 	until := now
@@ -100,16 +100,16 @@
 	until = until.Add(reading)
 	f.read[to.ID] = append(read, until)
 	f.prompts++
-	// An event takes its steps and what is read meanwhile.
+	// An event takes its decoding steps and the time of the prompts that are read meanwhile.
 	together := reading
 	for _, end := range read {
 		together += max(0, min(reading, end.Sub(until.Add(-readingGap))))
 	}
 	paused := readingSteps + min(most, together)
 	if paused > readingGap {
-		f.long++
+		f.longPauses++
 	}
-	f.firsts += until.Sub(attempt.Request.Arrived)
+	f.firstEventTimes += until.Sub(attempt.Request.Arrived)
 	f.mu.Unlock()
 	time.Sleep(until.Sub(now))
 	reader, writer := io.Pipe()
@@ -126,8 +126,8 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: reader}, nil
 }
 
-// readingAt is how long an engine reads a prompt, and how long prompts within an event at most.
-func (f *readingFleet) readingAt(engine string, tokens int) (reading, most time.Duration) {
+// readingAt returns how long an engine reads a prompt, and the longest that it reads prompts during one event.
+func (f *promptFleet) readingAt(engine string, tokens int) (reading, most time.Duration) {
 	reading, most = readingTime*time.Duration(tokens)/readingTokens, f.within
 	if most == 0 {
 		most = time.Hour
@@ -135,13 +135,13 @@
 	var n int
 	_, _ = fmt.Sscanf(engine, "e%d", &n)
 	if n < f.slow {
-		reading, most = time.Duration(slowerBy*float64(reading)), time.Duration(slowerBy*float64(most))
+		reading, most = time.Duration(slowFactor*float64(reading)), time.Duration(slowFactor*float64(most))
 	}
 	return reading, most
 }
 
-// exchange has each box know the loads of the others as of now, and what they observed.
-func (f *readingFleet) exchange() {
+// exchange gives each box the current loads and the observations of the others.
+func (f *promptFleet) exchange() {
 	for i, box := range f.boxes {
 		observed := box.Loads.TakeObservations()
 		for j, other := range f.boxes {
@@ -169,8 +169,8 @@
 	}
 }
 
-// play sends prompts for 20 s that keep the engines reading for a part of their time.
-func (f *readingFleet) play(utilization float64) {
+// simulate sends prompts for 20 s at a rate that keeps the engines reading for the given share of their time.
+func (f *promptFleet) simulate(utilization float64) {
 	random := rand.New(rand.NewPCG(7, 7))
 	perSecond := utilization * readingEngines / readingTime.Seconds()
 	var running sync.WaitGroup
@@ -181,7 +181,7 @@
 		for until := begun.Add(pause); time.Now().Before(until); {
 			if !time.Now().Before(next) {
 				f.exchange()
-				next = next.Add(readingExchange)
+				next = next.Add(exchangeInterval)
 			}
 			time.Sleep(min(time.Until(until), time.Until(next)))
 		}
@@ -207,22 +207,22 @@
 var _ = Describe("prompts of many boxes at few engines", func() {
 	// Boxes choose by chance, too: several plays differ less than one.
 	const plays = 3
-	play := func(utilization float64, fleet func() *readingFleet) (long float64, first time.Duration) {
-		sum := readingFleet{}
+	play := func(utilization float64, fleet func() *promptFleet) (long float64, first time.Duration) {
+		sum := promptFleet{}
 		for range plays {
 			spectest.Bubble(func() {
 				f := fleet()
-				f.play(utilization)
-				sum.long, sum.prompts, sum.firsts = sum.long+f.long, sum.prompts+f.prompts, sum.firsts+f.firsts
+				f.simulate(utilization)
+				sum.longPauses, sum.prompts, sum.firstEventTimes = sum.longPauses+f.longPauses, sum.prompts+f.prompts, sum.firstEventTimes+f.firstEventTimes
 			})
 		}
-		return float64(sum.long) / float64(sum.prompts), (sum.firsts / time.Duration(sum.prompts)).Round(time.Millisecond)
+		return float64(sum.longPauses) / float64(sum.prompts), (sum.firstEventTimes / time.Duration(sum.prompts)).Round(time.Millisecond)
 	}
 
 	DescribeTable("are read together less often where engines' time is reserved",
 		func(utilization, mostLong float64) {
-			longBefore, firstBefore := play(utilization, func() *readingFleet { return newReadingFleet(false) })
-			long, first := play(utilization, func() *readingFleet { return newReadingFleet(true) })
+			longBefore, firstBefore := play(utilization, func() *promptFleet { return newPromptFleet(false) })
+			long, first := play(utilization, func() *promptFleet { return newPromptFleet(true) })
 			GinkgoWriter.Printf("| %.1f | %.3f, %v | %.3f, %v |\n", utilization, longBefore, firstBefore, long, first)
 			Expect(long).To(BeNumerically("<=", mostLong))
 			Expect(long).To(BeNumerically("<", longBefore/2))
@@ -233,12 +233,12 @@
 		Entry("two thirds", 0.67, 0.3),
 	)
 
-	// The fast engines pause streams for 0.42 s at most, however many prompts wait there; the slow ones for 0.54 s, and for
-	// 0.53 s by one of the longer prompts alone.
-	DescribeTable("keep away from engines that they would have pause too long, as far as others are there",
+	// The fast engines pause streams for 0.42 s at most, however many prompts wait there. The slow ones pause them
+	// for up to 0.54 s, and for 0.53 s by one of the longer prompts alone.
+	DescribeTable("avoid engines whose streams they would pause for too long, as far as there are others",
 		func(utilization, mostLong float64, mostFirst time.Duration) {
-			long, first := play(utilization, func() *readingFleet {
-				f := newReadingFleet(true)
+			long, first := play(utilization, func() *promptFleet {
+				f := newPromptFleet(true)
 				f.slow, f.within, f.longer = 3, 390*time.Millisecond, 1.6
 				return f
 			})
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -11,17 +11,17 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("the rule of retries", func() {
+var _ = Describe("the retry rules", func() {
 	once := &routes.Route{Kind: routes.Once, MaxAttempts: 2}
 	repeatable := &routes.Route{Kind: routes.Repeatable, MaxAttempts: 2}
 
 	request := func(route *routes.Route, sent attempts) *inflight {
 		budget := newRetryBudget(RetryLimits{}, func() int { return 1 })
-		budget.noteRequest("s")
+		budget.addRequest("s")
 		return &inflight{gateway: &Gateway{budget: budget}, route: route, service: "s", attempts: sent}
 	}
 
-	DescribeTable("allows an attempt by what became of those before",
+	DescribeTable("allow an attempt depending on the outcome of earlier ones",
 		func(route *routes.Route, sent attempts, denied reason) {
 			Expect(request(route, sent).takeAttempt()).To(Equal(denied))
 		},
@@ -33,7 +33,7 @@
 		Entry("after four that were not executed", once, attempts{sent: 4, reached: 4}, reasonAttempts),
 	)
 
-	It("draws on the retry budget once an attempt has reached an upstream", func() {
+	It("draw on the retry budget once an attempt has reached an upstream", func() {
 		spectest.Bubble(func() {
 			r := request(repeatable, attempts{sent: 1})
 			Expect([]reason{r.takeAttempt(), r.takeAttempt()}).To(Equal([]reason{"", ""}))
@@ -42,7 +42,7 @@
 		})
 	})
 
-	DescribeTable("sends again only what did not run or may run more than once",
+	DescribeTable("allow a retry only of what did not run or may run more than once",
 		func(route *routes.Route, err error, may bool) {
 			Expect(request(route, attempts{}).mayRetry(err)).To(Equal(may))
 		},
@@ -52,7 +52,7 @@
 		Entry("repeatable, broken", repeatable, ErrBroken, true),
 	)
 
-	It("replaces a failed answer only where the request may run more than once", func() {
+	It("allow a failed answer to be replaced only where the request may run more than once", func() {
 		spectest.Bubble(func() {
 			Expect(request(repeatable, attempts{}).mayReplace(http.StatusInternalServerError)).To(BeTrue())
 			Expect(request(repeatable, attempts{}).mayReplace(http.StatusBadRequest)).To(BeFalse())
@@ -60,7 +60,7 @@
 		})
 	})
 
-	DescribeTable("answers by whether the request may have run",
+	DescribeTable("refuse depending on whether the request may have run",
 		func(route *routes.Route, ran int, want *refusal) {
 			Expect(request(route, attempts{sent: 1, mayHaveRun: ran}).deniedRefusal(reasonBudget, reasonBroken)).To(Equal(want))
 		},
@@ -69,15 +69,15 @@
 		Entry("ran, may run again", repeatable, 1, notRun(reasonBroken, 0)),
 	)
 
-	It("answers by how the context ended", func() {
+	It("refuse depending on how the context ended", func() {
 		spectest.Bubble(func() {
 			left, leave := context.WithCancel(context.Background())
 			leave()
 			late, stop := context.WithTimeout(context.Background(), 0)
 			defer stop()
-			Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(left)).To(Equal(callerLeft()))
-			Expect(request(repeatable, attempts{mayHaveRun: 1}).ended(late)).To(Equal(mayHaveRun(reasonTimeout)))
-			Expect(request(repeatable, attempts{sent: 1}).ended(late)).To(Equal(notRun(reasonTimeout, 0)))
+			Expect(request(repeatable, attempts{mayHaveRun: 1}).contextRefusal(left)).To(Equal(callerLeft()))
+			Expect(request(repeatable, attempts{mayHaveRun: 1}).contextRefusal(late)).To(Equal(mayHaveRun(reasonTimeout)))
+			Expect(request(repeatable, attempts{sent: 1}).contextRefusal(late)).To(Equal(notRun(reasonTimeout, 0)))
 		})
 	})
 })
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -9,15 +9,15 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// Serve answers a request. It returns ErrAborted if the caller's connection must be broken.
+// Serve answers a request. It returns ErrAborted if the caller's connection must be closed abnormally.
 //
-// The way of a request: its route, its customer and the customer's quota (customer.go), its deadlines, and then attempt after attempt the limits of retries
-// (retry.go), the candidates (candidates.go) and the choice among them (choice.go), admission
-// (admission.go) or provision of what is lacking (provision.go), the attempt (attempt.go) and its
-// outcome (outcome.go). stream.go and plain.go pass the answer on.
+// A request is processed in these steps: its route, its customer and the customer's quota (customer.go), and its
+// deadlines. Then, for each attempt: the limits of retries (retry.go), the candidates (candidates.go) and the
+// choice among them (choice.go), admission (admission.go) or provision of what is lacking (provision.go), the
+// attempt (attempt.go) and its outcome (outcome.go). stream.go and plain.go pass the answer on.
 func (g *Gateway) Serve(ctx context.Context, w http.ResponseWriter, request *Request) error {
-	g.flight.Add(1)
-	defer g.flight.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	table := g.firstTable(ctx)
 	if table == nil {
 		g.refuseUnserved(w, request, "", notRun(reasonNoConfig, 0))
@@ -39,26 +39,27 @@
 		ctx, cancel = context.WithDeadline(ctx, r.deadlines.answer)
 		defer cancel()
 	}
-	g.budget.noteRequest(r.service)
-	if refused := r.spend(table.Version); refused != nil {
+	g.budget.addRequest(r.service)
+	if refused := r.chargeQuota(table.Version); refused != nil {
 		r.refuse(w, refused)
 		return nil
 	}
-	defer r.returnCost(table.Version)
-	defer r.releaseHeld()
+	defer r.refundQuota(table.Version)
+	defer r.releaseBuffered()
 	if route.Kind == routes.Stream {
 		return r.serveStream(ctx, w)
 	}
 	return r.servePlain(ctx, w)
 }
 
-// firstTableWait is how long a request waits for the configuration of a box that has just started. After all boxes lost
-// power, requests reach each one 0.1 to 0.2 s before it has its configuration: refused, 390 of them came back after as long
-// again, most of them late. It is less than the shortest target in use.
+// firstTableWait is how long a request waits for the first route table of a box that has just started. After a
+// power loss of all boxes, requests reach each box 0.1 to 0.2 s before its table does. When these were refused,
+// 390 of them came back after as long again, and most of these were late. The wait is shorter than the shortest
+// target in use.
 const firstTableWait = 250 * time.Millisecond
 
-// firstTable returns the configuration in force. It waits a while for the first one, and returns nil if there is none by
-// then or the caller has left.
+// firstTable returns the route table in force. It waits up to firstTableWait for the first one, and returns nil if
+// there is none by then or the caller has left.
 func (g *Gateway) firstTable(ctx context.Context) *routes.Table {
 	if table := g.table.Load(); table != nil {
 		return table
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -18,22 +18,23 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// slowFixture is a gateway behind its front, whose engines send events without end until nobody takes them.
+// slowFixture is a gateway behind its HTTP front end. streamForever gives it engines that send events until the
+// caller is gone.
 type slowFixture struct {
 	*fixture
 	network spectest.Network
 	front   *Front
-	// ended gets the time at which an engine's request was given up.
+	// ended receives the time at which the request to an engine was cancelled.
 	ended chan time.Time
 }
 
-// endless is an answer of events without end.
-type endless struct {
+// endlessReader returns events without end until ctx ends.
+type endlessReader struct {
 	ctx  context.Context
 	text string
 }
 
-func (e endless) Read(p []byte) (int, error) {
+func (e endlessReader) Read(p []byte) (int, error) {
 	if e.ctx.Err() != nil {
 		return 0, e.ctx.Err()
 	}
@@ -42,9 +43,9 @@
 
 func withSlowFixture(memoryBytes int64, f func(*slowFixture)) {
 	spectest.Bubble(func() {
-		s := &slowFixture{fixture: newFixture(func(string, int) fate { return whole }, 1), ended: make(chan time.Time, 1000)}
-		s.Holdings = NewHoldings(memoryBytes)
-		// No deadline ends what the spec is about.
+		s := &slowFixture{fixture: newFixture(func(string, int) behavior { return succeeds }, 1), ended: make(chan time.Time, 1000)}
+		s.Holdings = NewMemoryBudget(memoryBytes)
+		// The timeout is long, so that no deadline ends a request before its caller does.
 		table := *s.Table()
 		list := append([]routes.Route{}, table.Routes...)
 		for i := range list {
@@ -82,12 +83,12 @@
 	})
 }
 
-// streamForever has the engines answer every request by events without end.
+// streamForever makes the engines answer every request with an endless stream of events.
 func (s *slowFixture) streamForever() {
 	s.Upstreams.Send = func(ctx context.Context, _ *fleet.Endpoint, _ Attempt) (*Answer, error) {
 		context.AfterFunc(ctx, func() { s.ended <- time.Now() })
 		text := fmt.Sprintf("id: 1\ndata: %s\n\n", strings.Repeat("x", 400))
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(endless{ctx: ctx, text: text})}, nil
+		return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(endlessReader{ctx: ctx, text: text})}, nil
 	}
 }
 
@@ -97,7 +98,7 @@
 	return conn
 }
 
-// send sends a head and what comes of the body.
+// send sends the header of a request and the given part of its body.
 func (s *slowFixture) send(path, model string, length int, body string) net.Conn {
 	conn := s.dial()
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h\r\nModel: %s\r\nContent-Length: %d\r\n\r\n%s", path, model, length, body)
@@ -108,7 +109,7 @@
 var _ = Describe("callers that read or send slowly, or not at all", func() {
 	const memory = 184 << 20
 
-	It("lose their connection after some seconds in which they take nothing, and the engine is free at once", func() {
+	It("lose their connection after some seconds in which they read nothing, and the engine is free at once", func() {
 		withSlowFixture(memory, func(s *slowFixture) {
 			s.streamForever()
 			const callers = 200
@@ -118,18 +119,18 @@
 				defer func() { _ = conn.Close() }()
 			}
 			for range callers {
-				Expect((<-s.ended).Sub(begun)).To(BeNumerically("~", writeStall, time.Second))
+				Expect((<-s.ended).Sub(begun)).To(BeNumerically("~", writeStallTimeout, time.Second))
 			}
 			Expect(s.Holdings.Held()).To(BeZero())
 		})
 	})
 
-	It("keep it while they take something, however little", func() {
+	It("keep their connection while they read something, however little", func() {
 		withSlowFixture(memory, func(s *slowFixture) {
 			s.streamForever()
 			conn := s.send("/stream/x", "m", 0, "")
 			for range 20 {
-				time.Sleep(writeStall * 3 / 4)
+				time.Sleep(writeStallTimeout * 3 / 4)
 				_, err := conn.Read(make([]byte, 100))
 				Expect(err).NotTo(HaveOccurred())
 			}
@@ -138,7 +139,7 @@
 		})
 	})
 
-	It("are refused when their body stops, which holds no more than what came", func() {
+	It("are refused when their body stalls, which uses no more memory than what arrived", func() {
 		withSlowFixture(memory, func(s *slowFixture) {
 			begun := time.Now()
 			conn := s.send("/once/x", "", 50_000, strings.Repeat("x", 100))
@@ -148,14 +149,14 @@
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusRequestTimeout))
-			Expect(time.Since(begun)).To(BeNumerically("~", bodyStall, 100*time.Millisecond))
+			Expect(time.Since(begun)).To(BeNumerically("~", bodyStallTimeout, 100*time.Millisecond))
 			Expect(s.Holdings.Held()).To(BeZero())
-			Expect(s.upstreams.on).To(BeEmpty())
+			Expect(s.upstreams.sentTo).To(BeEmpty())
 		})
 	})
 
-	It("are refused at once, truly not run, where the box holds all it may, while others are served", func() {
-		withSlowFixture(1, func(s *slowFixture) { // The least that a box may hold: one answer.
+	It("are refused at once and never run if the memory budget is used up, while others are served", func() {
+		withSlowFixture(1, func(s *slowFixture) { // The smallest budget: one buffered answer.
 			const held = 600_000
 			slow := s.send("/once/slow", "", 2*held, strings.Repeat("x", held))
 			defer func() { _ = slow.Close() }()
@@ -181,24 +182,24 @@
 	})
 })
 
-var _ = Describe("what a box holds for callers", func() {
-	It("is counted while answers are held, passed on beyond the bound, and given up at the end", func() {
+var _ = Describe("the memory budget for callers", func() {
+	It("counts buffered answers until their end, and has answers that exceed it passed on at once", func() {
 		spectest.Bubble(func() {
-			f := newFixture(func(string, int) fate { return whole }, 1)
-			f.Holdings = NewHoldings(1)
-			Expect(f.Holdings.Take(maxHeldAnswer)).To(BeTrue())
-			Expect(f.Holdings.Take(1)).To(BeFalse())
+			f := newFixture(func(string, int) behavior { return succeeds }, 1)
+			f.Holdings = NewMemoryBudget(1)
+			Expect(f.Holdings.Reserve(maxBufferedAnswer)).To(BeTrue())
+			Expect(f.Holdings.Reserve(1)).To(BeFalse())
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(got.Code).To(Equal(http.StatusOK))
 			Expect(got.Body.String()).To(Equal(plainBody))
-			Expect(f.Holdings.Held()).To(Equal(int64(maxHeldAnswer)))
+			Expect(f.Holdings.Held()).To(Equal(int64(maxBufferedAnswer)))
 		})
 	})
 
-	It("leaves a small box what it needs for itself", func() {
+	It("leaves a small box the memory that it needs for itself", func() {
 		const memory = 184 << 20
-		h := NewHoldings(memory)
-		Expect(controlBytes + 2*h.limit).To(BeNumerically("<", memory*3/4))
-		Expect(NewHoldings(0)).To(BeNil())
+		h := NewMemoryBudget(memory)
+		Expect(processReserveBytes + 2*h.limit).To(BeNumerically("<", memory*3/4))
+		Expect(NewMemoryBudget(0)).To(BeNil())
 	})
 })
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -8,11 +8,12 @@
 	"github.com/juju/errors"
 )
 
-// writeStall is after how long a connection ends whose caller takes nothing of its answer. The request's upstream is then free at once. It is
-// counted in two halves, since a process that was suspended finds the first one over without the caller having had any time.
-const writeStall = 4 * time.Second
+// writeStallTimeout is the time after which a connection is closed whose caller accepts none of its answer. The
+// request's upstream is then free at once. The time is measured in two halves: if the process was suspended, the
+// first half may have passed without giving the caller any time.
+const writeStallTimeout = 4 * time.Second
 
-// stallListener accepts connections that end when their callers stop reading.
+// stallListener accepts connections that are closed when their callers stop reading.
 type stallListener struct{ net.Listener }
 
 // Accept returns the next connection.
@@ -24,14 +25,16 @@
 	return stallConn{conn}, nil
 }
 
-// stallConn is a connection whose writes fail once the other side has taken nothing for writeStall. One that reads slowly keeps it.
+// stallConn is a connection whose writes fail once the other side has accepted nothing for writeStallTimeout. A
+// slow reader keeps its connection.
 type stallConn struct{ net.Conn }
 
-// Write sends all of p, or fails.
+// Write writes all of p or returns an error.
 func (c stallConn) Write(p []byte) (int, error) {
 	sent, stalls := 0, 0
 	for {
-		_ = c.SetWriteDeadline(time.Now().Add(writeStall / 2)) // It fails only on a closed connection, as does the write.
+		// SetWriteDeadline fails only on a closed connection, and then the write fails too.
+		_ = c.SetWriteDeadline(time.Now().Add(writeStallTimeout / 2))
 		n, err := c.Conn.Write(p[sent:])
 		sent += n
 		switch {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,18 +13,18 @@
 	"ospreymoor.example/ospreymoor/pkg/eventstream"
 )
 
-// stream is a request that is answered by events, with the part of the answer that the caller has.
+// stream is a request whose answer is a stream of events, with the progress of what was passed to the caller.
 type stream struct {
 	*inflight
 	w http.ResponseWriter
-	// begun is set once the head was passed on: from then on the request can't be refused.
-	begun bool
-	// lastEventID is the id of the last whole event that the caller has; empty if there is none.
+	// headWritten is set once the header was passed on. From then on the request cannot be refused.
+	headWritten bool
+	// lastEventID is the id of the last complete event that the caller received; empty if there is none.
 	lastEventID string
 }
 
-// serveStream answers a request by events. If the route allows it, the stream resumes at another
-// upstream after the last whole event that the caller has.
+// serveStream answers a request with a stream of events. If the route allows it, the stream resumes at another
+// upstream after the last complete event that the caller received.
 func (r *inflight) serveStream(ctx context.Context, w http.ResponseWriter) error {
 	s := &stream{inflight: r, w: w, lastEventID: r.request.LastEventID}
 	for {
@@ -40,15 +40,15 @@
 		case done:
 			return err
 		case ctx.Err() != nil:
-			return s.end(s.ended(ctx))
+			return s.end(s.contextRefusal(ctx))
 		case !s.mayRetry(err):
 			return s.end(mayHaveRun(reasonBroken))
 		}
 	}
 }
 
-// attempt sends the request once and passes its events on. done reports that the request is over;
-// err is then what Serve returns.
+// attempt sends the request once and passes its events on. done is set if the request is over; err is then the
+// result of Serve.
 func (s *stream) attempt(ctx context.Context, choice dispatch.Choice) (done bool, err error) {
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -63,60 +63,61 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status != http.StatusOK {
-		return s.passFailure(answer)
+		return s.relayFailure(answer)
 	}
-	err = s.pass(answer, ticket)
+	err = s.relay(answer, ticket)
 	if err == nil {
-		s.answered()
+		s.noteAnswered()
 		s.attemptSucceeded(choice)
-		s.notePause(choice)
+		s.recordPause(choice)
 		s.logEnd(http.StatusOK, "", nil)
 		return true, nil
 	}
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 		return false, err
 	}
-	s.broke(ctx, choice, answer.Status, time.Since(s.request.Arrived), err)
+	s.recordBroken(ctx, choice, answer.Status, time.Since(s.request.Arrived), err)
 	return false, err
 }
 
-// notePause counts a stream whose events paused for too long at the engine that sent them all.
-func (s *stream) notePause(choice dispatch.Choice) {
+// recordPause records a pause between events that exceeded the route's target, if a single engine sent the whole
+// stream.
+func (s *stream) recordPause(choice dispatch.Choice) {
 	if s.route.GapTarget > 0 && s.attempts.sent == 1 && s.timing.longestGap > s.route.GapTarget {
 		s.gateway.Loads.RecordPause(choice.Upstream.ID)
 		s.gateway.Metrics.GetOrCreateCounter("ospreymoor_streams_paused_total").Inc()
 	}
 }
 
-// passFailure passes the failure of an upstream on, or has another upstream try. A failure can't
-// follow events that the caller has. Unlike a plain answer, a failure that is not passed on at once
-// is not kept for later, so it is replaced only while the route allows one more run.
-func (s *stream) passFailure(answer *Answer) (done bool, err error) {
-	if s.begun || (s.mayReplace(answer.Status) && s.hasRunsLeft()) {
+// relayFailure passes on the failure of an upstream, or lets another upstream try. A failure cannot follow events
+// that the caller already has. A failure that is not passed on at once is discarded, unlike that of a plain
+// answer, so it is replaced only while the route allows one more run.
+func (s *stream) relayFailure(answer *Answer) (done bool, err error) {
+	if s.headWritten || (s.mayReplace(answer.Status) && s.hasRunsLeft()) {
 		discard(answer)
 		return false, ErrBroken
 	}
-	held, err := s.hold(answer)
+	buffered, err := s.bufferAnswer(answer)
 	if err != nil {
 		return false, err
 	}
-	s.answered()
-	return true, s.finish(s.w, held, nil)
+	s.noteAnswered()
+	return true, s.finish(s.w, buffered, nil)
 }
 
-// errCallerGone means that the caller's connection does not take the answer any more.
+// errCallerGone means that the caller's connection no longer accepts the answer.
 const errCallerGone = errors.ConstError("caller's connection is gone")
 
-// pass copies whole events to the caller until the stream is complete. A part of an event is never
-// passed on, so that a resumption continues where the caller is. The error is ErrBroken if the upstream
-// broke off, and errCallerGone.
-func (s *stream) pass(answer *Answer, ticket *dispatch.Ticket) error {
+// relay copies complete events to the caller until the stream is complete. It never passes on part of an event, so
+// that a stream can resume exactly where the caller is. The error is ErrBroken if the upstream broke off, and
+// errCallerGone if the caller's connection failed.
+func (s *stream) relay(answer *Answer, ticket *dispatch.Ticket) error {
 	events := eventstream.NewReader(answer.Body)
 	for {
 		event, err := events.Next()
 		if err == io.EOF {
-			if !s.begun {
-				s.begin(answer)
+			if !s.headWritten {
+				s.writeHead(answer)
 			}
 			return nil
 		}
@@ -124,8 +125,8 @@
 			return errors.WithType(err, ErrBroken)
 		}
 		ticket.Started()
-		if !s.begun {
-			s.begin(answer)
+		if !s.headWritten {
+			s.writeHead(answer)
 		}
 		if err := s.write(event); err != nil {
 			return err
@@ -133,16 +134,16 @@
 	}
 }
 
-// begin passes the head on. It is that of the first upstream whose events the caller gets; upstreams
-// at which the stream resumes add events only.
-func (s *stream) begin(answer *Answer) {
-	s.begun = true
+// writeHead passes the header on. It is that of the first upstream whose events the caller gets; upstreams at
+// which the stream resumes only add events.
+func (s *stream) writeHead(answer *Answer) {
+	s.headWritten = true
 	s.timing.firstByte = time.Now()
 	maps.Copy(s.w.Header(), answer.Header)
 	s.w.WriteHeader(answer.Status)
 }
 
-// write passes one event on at once.
+// write passes one event on without buffering.
 func (s *stream) write(event eventstream.Event) error {
 	if _, err := s.w.Write(event.Bytes); err != nil {
 		return errors.WithType(err, errCallerGone)
@@ -150,17 +151,17 @@
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
 		return errors.WithType(err, errCallerGone)
 	}
-	s.timing.event()
+	s.timing.recordEvent()
 	if event.ID != "" {
 		s.lastEventID = event.ID
 	}
 	return nil
 }
 
-// end finishes a stream that no upstream completes. Once it has begun it can only be broken off; the
+// end ends a stream that no upstream completes. Once its header was written the stream can only be broken off; the
 // status of the refusal is then only logged.
 func (s *stream) end(refused *refusal) error {
-	if !s.begun {
+	if !s.headWritten {
 		s.refuse(s.w, refused)
 		return nil
 	}
--- a/internal/gateway/uses.go
+++ b/internal/gateway/uses.go
@@ -10,11 +10,11 @@
 // concurrent use.
 type modelUses struct {
 	mu sync.Mutex
-	// running by use, the Running field left at 0.
+	// running counts requests by use; the Running field of the keys is 0.
 	running map[residency.ModelUse]int
 }
 
-// begin counts a request, and returns the function to call at its end.
+// begin counts a request and returns the function to call when it ends.
 func (u *modelUses) begin(use residency.ModelUse) (end func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -28,7 +28,7 @@
 	})
 }
 
-// list returns all uses.
+// list returns all uses with their numbers of requests.
 func (u *modelUses) list() []residency.ModelUse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
