--- a/pkg/dispatch/choice.go
+++ b/pkg/dispatch/choice.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// preferenceBonus is the part of the uncached prompt's time by which the preferred engine is
-	// ahead of the others.
+	// preferenceBonus is the fraction of the uncached prompt's prefill time that is subtracted from the
+	// preferred engine's score.
 	preferenceBonus = 0.2
-	// jitter spreads choices among upstreams that are about equal.
+	// jitter bounds the random time that is added to each score. It spreads requests over upstreams with
+	// about the same score.
 	jitter = 2 * time.Millisecond
-	// crowdedShare is the part of the longest pause in time from which an engine counts as crowded, since
-	// other boxes send prompts that this one does not know of yet.
+	// crowdedShare is the fraction of the gap target above which an engine's predicted pause counts as
+	// crowded. The rest is a margin for prompts of other boxes that this box does not know of yet.
 	crowdedShare = 0.7
-	// busyPenalty is for an engine that loads or unloads a model.
+	// busyPenalty is added for an engine that is loading or unloading a model.
 	busyPenalty = 2 * time.Millisecond
-	// failurePenalty is the time that a share of failures of 1 above the usual one counts for.
+	// failurePenalty is multiplied by the excess of the upstream's failure rate over the baseline.
 	failurePenalty = 400 * time.Millisecond
 )
 
-// Chooser chooses upstreams by the loads of its tracker.
+// Chooser chooses upstreams by the loads in its tracker.
 type Chooser struct {
 	Loads *LoadTracker
-	// Hall of this box.
+	// Hall is the hall of this box.
 	Hall string
 }
 
-// rated is a candidate with its score: the lower, the better.
-type rated struct {
+// scoredCandidate is a candidate with its score. A lower score is better.
+type scoredCandidate struct {
 	choice  Choice
 	score   time.Duration
 	ejected bool
 }
 
-// Choose returns the engine with the best score, or draws one of a plain service's upstreams. Ejected candidates are taken
-// only if there are no others. It reports false if there is no candidate.
+// Choose returns the engine with the best score, or a random upstream of a plain service, weighted by load.
+// Ejected candidates are chosen only if there are no others. It reports false if there are no candidates.
 func (c *Chooser) Choose(need Requirements, candidates []*fleet.State) (Choice, bool) {
 	if len(candidates) == 0 {
 		return Choice{}, false
@@ -48,14 +49,14 @@
 	if need.Model == "" {
 		return c.chooseService(candidates, now), true
 	}
-	usual := c.Loads.usualFailureShare(candidates)
+	baseline := c.Loads.baselineFailureRate(candidates)
 	preferred := preferredEngine(need, candidates)
-	var best rated
+	var best scoredCandidate
 	for i, upstream := range candidates {
 		record := c.Loads.record(upstream.ID)
-		next := rated{ejected: record.ejection.ejected(usual, now)}
+		next := scoredCandidate{ejected: record.ejection.ejectIfOutlier(baseline, now)}
 		next.choice = c.predict(need, upstream, record)
-		next.score = score(&next.choice, record, usual, upstream.ID == preferred, need)
+		next.score = score(&next.choice, record, baseline, upstream.ID == preferred, need)
 		if i == 0 || next.better(&best) {
 			best = next
 		}
@@ -63,27 +64,28 @@
 	return best.choice, true
 }
 
-// Crowded reports whether the streams that run there would have too long a pause.
+// Crowded reports whether the predicted pause of the running streams exceeds crowdedShare of the gap target.
 func (c *Choice) Crowded(need Requirements) bool {
 	return need.GapTarget > 0 && c.Pause > scale(need.GapTarget, crowdedShare)
 }
 
-func (r *rated) better(other *rated) bool {
+func (r *scoredCandidate) better(other *scoredCandidate) bool {
 	if r.ejected != other.ejected {
 		return !r.ejected
 	}
 	return r.score < other.score
 }
 
-// PausesStreams reports whether the request's prompt alone probably has the streams that run there pause for too long.
+// PausesStreams reports whether this request's prompt alone would probably make the running streams pause
+// for longer than the engine's share of the gap target.
 func (c *Choice) PausesStreams(need Requirements) bool {
-	return need.GapTarget > 0 && c.Load.Running > 0 && c.read+c.event > scale(need.GapTarget, float64(c.pauseShare))
+	return need.GapTarget > 0 && c.Load.Running > 0 && c.prefillTime+c.eventTime > scale(need.GapTarget, float64(c.pauseShare))
 }
 
-// score is the predicted wait, corrected by what makes the upstream a better or worse choice.
-func score(choice *Choice, record *upstreamRecord, usual float64, preferred bool, need Requirements) time.Duration {
+// score returns the predicted wait plus penalties and minus bonuses.
+func score(choice *Choice, record *upstreamRecord, baseline float64, preferred bool, need Requirements) time.Duration {
 	score := choice.Wait + rand.N(jitter)
-	if excess := record.ejection.failureShare - usual; excess > 0 {
+	if excess := record.ejection.failureRate - baseline; excess > 0 {
 		score += scale(failurePenalty, excess)
 	}
 	if choice.PausesStreams(need) {
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("a request's urgency", func() {
-	It("counts as the nearest level where it is beyond them", func() {
+	It("counts as the nearest level when it is out of range", func() {
 		for urgency, level := range map[int]int{-3: 0, 0: 0, 2: 2, 9: dispatch.UrgencyLevels - 1} {
 			tracker := dispatch.NewLoadTracker()
 			choice := dispatch.Choice{Upstream: &fleet.State{Upstream: &fleet.Upstream{ID: "e"}}, Uncached: 100}
@@ -51,7 +51,7 @@
 		})
 	})
 
-	It("has all boxes prefer one engine for a prompt that none has cached", func() {
+	It("prefers the same engine on all boxes for a prompt that no engine has cached", func() {
 		spectest.Bubble(func() {
 			states := engines(6)
 			first, _ := chooser.Choose(need("x"), states)
@@ -63,7 +63,7 @@
 		})
 	})
 
-	It("counts what peers have under way", func() {
+	It("counts the requests that peers have in flight", func() {
 		spectest.Bubble(func() {
 			states := engines(2)
 			tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}, "e1": {}}, time.Now())
@@ -128,7 +128,7 @@
 		})
 	})
 
-	It("takes off the whole load of a request, however it ends", func() {
+	It("removes the whole load of a request, however it ends", func() {
 		spectest.Bubble(func() {
 			states := engines(1)
 			choice, _ := chooser.Choose(need("x"), states)
--- a/pkg/dispatch/ejection_test.go
+++ b/pkg/dispatch/ejection_test.go
@@ -10,19 +10,19 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// ejections follows how long e0, the only upstream with free slots, is left out.
-type ejections struct {
+// ejectionTest checks for how long e0, the only upstream with free slots, is left out.
+type ejectionTest struct {
 	tracker *dispatch.LoadTracker
 	chooser *dispatch.Chooser
 }
 
-func newEjections() *ejections {
+func newEjectionTest() *ejectionTest {
 	tracker := dispatch.NewLoadTracker()
-	return &ejections{tracker: tracker, chooser: &dispatch.Chooser{Loads: tracker, Hall: "z"}}
+	return &ejectionTest{tracker: tracker, chooser: &dispatch.Chooser{Loads: tracker, Hall: "z"}}
 }
 
-// fail has requests to e0 fail while those to the others succeed.
-func (e *ejections) fail(times int) {
+// fail records failures of e0 and as many successes of the others.
+func (e *ejectionTest) fail(times int) {
 	for range times {
 		e.tracker.RecordOutcome("e0", false)
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (e *ejections) ejected() bool {
+func (e *ejectionTest) ejected() bool {
 	full := dispatch.Load{Running: 8}
 	e.tracker.SetRemoteLoads(map[string]dispatch.Load{"e1": full, "e2": full, "e3": full}, time.Now())
 	choice, ok := e.chooser.Choose(dispatch.Requirements{Service: "s"}, engines(4))
@@ -39,8 +39,8 @@
 	return choice.Upstream.ID != "e0"
 }
 
-// expectFor checks that e0 is ejected now and for the time given, and no longer.
-func (e *ejections) expectFor(length time.Duration) {
+// expectEjectedFor checks that e0 is ejected now and for the given time, and no longer.
+func (e *ejectionTest) expectEjectedFor(length time.Duration) {
 	Expect(e.ejected()).To(BeTrue())
 	time.Sleep(length - time.Millisecond)
 	Expect(e.ejected()).To(BeTrue())
@@ -51,20 +51,20 @@
 var _ = Describe("outlier ejection", func() {
 	It("doubles with each ejection up to its bound, and is short again after a while without failures", func() {
 		spectest.Bubble(func() {
-			e := newEjections()
+			e := newEjectionTest()
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 				e.fail(12)
-				e.expectFor(length)
+				e.expectEjectedFor(length)
 			}
 			time.Sleep(10 * time.Second)
 			e.fail(12)
-			e.expectFor(2 * time.Second)
+			e.expectEjectedFor(2 * time.Second)
 		})
 	})
 
 	It("needs several outcomes", func() {
 		spectest.Bubble(func() {
-			e := newEjections()
+			e := newEjectionTest()
 			e.fail(3)
 			Expect(e.ejected()).To(BeFalse())
 			e.fail(1)
--- a/pkg/dispatch/example_test.go
+++ b/pkg/dispatch/example_test.go
@@ -10,7 +10,7 @@
 func ExampleChooser() {
 	tracker := dispatch.NewLoadTracker()
 	chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
-	// Peers have e0 at its limit of 8 requests.
+	// Peers have 8 requests in flight at e0, which is its number of slots.
 	tracker.SetRemoteLoads(map[string]dispatch.Load{"e0": {Running: 8}}, time.Now())
 	parts := []dispatch.PromptPart{{ID: "system", Tokens: 3000}, {ID: "question", Tokens: 100}}
 	request := dispatch.Requirements{
--- a/pkg/dispatch/factors.go
+++ b/pkg/dispatch/factors.go
@@ -11,31 +11,30 @@
 	// modelFactorWeight is the weight of one observation in a model's factor. Learning faster
 	// at first was tried: mean worth 0.684 instead of 0.691.
 	modelFactorWeight = 0.1
-	// minFactor and maxFactor bound both factors and each observation. The upper one was lowered
-	// from 4 without a run of its own.
+	// minFactor and maxFactor bound both factors and each observation.
 	minFactor = 0.2
 	maxFactor = 1.5
-	// minPredicted is the shortest prediction that is learned from: below it the observed time is
+	// minPredicted is the shortest prediction that updates the factors. Below it the observed time is
 	// mostly overhead.
 	minPredicted = 8 * time.Millisecond
 )
 
-// learn corrects the factors of the upstream and of the model by a predicted time to the first
-// token and the observed one. Each factor is a running geometric mean of observed by predicted.
-// The caller holds the lock.
-func (t *LoadTracker) learn(record *upstreamRecord, model string, predicted, observed time.Duration) {
+// updateFactors updates the factors of the upstream and of the model from a predicted time to the first
+// token and the observed one. Each factor is a moving geometric mean of observed / predicted. The caller
+// holds the lock.
+func (t *LoadTracker) updateFactors(record *upstreamRecord, model string, predicted, observed time.Duration) {
 	if predicted < minPredicted {
 		return
 	}
-	ratio := boundedFactor(float64(observed) / float64(predicted))
-	record.factor = boundedFactor(record.factor * math.Pow(ratio, upstreamFactorWeight))
+	ratio := clampFactor(float64(observed) / float64(predicted))
+	record.factor = clampFactor(record.factor * math.Pow(ratio, upstreamFactorWeight))
 	if model != "" {
-		t.modelFactors[model] = boundedFactor(t.modelFactor(model) * math.Pow(ratio, modelFactorWeight))
+		t.modelFactors[model] = clampFactor(t.modelFactor(model) * math.Pow(ratio, modelFactorWeight))
 	}
 }
 
-// modelFactor is the factor by which a model's work takes longer than predicted. The caller holds
-// the lock.
+// modelFactor returns the factor by which a model's work takes longer than predicted; 1 if nothing was
+// observed. The caller holds the lock.
 func (t *LoadTracker) modelFactor(model string) float64 {
 	if factor, ok := t.modelFactors[model]; ok {
 		return factor
@@ -43,7 +42,7 @@
 	return 1
 }
 
-func boundedFactor(factor float64) float64 { return min(maxFactor, max(minFactor, factor)) }
+func clampFactor(factor float64) float64 { return min(maxFactor, max(minFactor, factor)) }
 
 func scale(duration time.Duration, factor float64) time.Duration {
 	return time.Duration(factor * float64(duration))
--- a/pkg/dispatch/load.go
+++ b/pkg/dispatch/load.go
@@ -1,19 +1,19 @@
 package dispatch
 
-// UrgencyLevels is the number of levels of urgency; 0 is the most urgent. Requests of a number
-// beyond them count as the nearest level.
+// UrgencyLevels is the number of urgency levels; 0 is the most urgent. An urgency outside the range counts
+// as the nearest level.
 const UrgencyLevels = 3
 
-// Load is what one or several boxes have under way at one upstream.
+// Load is the work that one or several boxes have in flight at one upstream.
 type Load struct {
-	// Running requests, from the sending to the end of the answer.
+	// Running counts the requests that were sent and whose response has not ended.
 	Running int `json:"r,omitempty"`
-	// Prefill is the prompt tokens that the engine has still to read, by urgency.
+	// Prefill is the number of prompt tokens that the engine has not prefilled yet, by urgency level.
 	Prefill [UrgencyLevels]int `json:"p,omitzero"`
-	// Tokens of engine memory that the running requests take or will take.
+	// Tokens is the engine memory, in tokens, that the running requests take or will take.
 	Tokens int `json:"t,omitempty"`
-	// Waiting requests have no first token yet. No rule reads it; it is part of the exchange
-	// between boxes.
+	// Waiting counts the requests without a first token. No decision reads it; it is part of the data that
+	// boxes exchange.
 	Waiting int `json:"w,omitempty"`
 }
 
@@ -27,7 +27,7 @@
 	l.Waiting += other.Waiting
 }
 
-// Subtract takes off another load that is part of this one.
+// Subtract removes another load that is part of this one.
 func (l *Load) Subtract(other Load) {
 	l.Running -= other.Running
 	for level, tokens := range other.Prefill {
@@ -37,7 +37,7 @@
 	l.Waiting -= other.Waiting
 }
 
-// finishPrefill takes off a request whose prompt the engine has read, or that ended before.
+// finishPrefill removes the prefill of a request whose prompt has been prefilled or that ended before.
 func (l *Load) finishPrefill(request Load) {
 	for level, tokens := range request.Prefill {
 		l.Prefill[level] -= tokens
@@ -45,8 +45,8 @@
 	l.Waiting--
 }
 
-// prefillAhead is the prompt tokens that the engine reads before those of a new request: all that
-// are at least as urgent.
+// prefillAhead returns the number of prompt tokens that the engine prefills before those of a new request:
+// all that are at least as urgent.
 func (l *Load) prefillAhead(urgency int) int {
 	tokens := 0
 	for level := range urgencyLevel(urgency) + 1 {
--- a/pkg/dispatch/observations.go
+++ b/pkg/dispatch/observations.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// maxPendingPrompts bounds the prompts that wait for TakeObservations; what comes beyond is
-	// not shared with peers.
+	// maxPendingPrompts bounds the prompts kept for the next TakeObservations. Further prompts are not
+	// shared with peers.
 	maxPendingPrompts = 2000
-	// maxMergedOutcomes bounds the successes, the failures and the pauses that one message of a peer
-	// counts for at one upstream.
+	// maxMergedOutcomes bounds each of the successes, failures and pauses that one message from a peer
+	// adds for one upstream.
 	maxMergedOutcomes = 20
 )
 
-// Observations is what a box shares with its peers.
+// Observations are what a box shares with its peers.
 type Observations struct {
 	Prompts []SentPrompt `json:"sent,omitempty"`
-	// Outcomes of requests, by upstream.
+	// Outcomes counts how requests ended, by upstream.
 	Outcomes map[string]Outcomes `json:"verdicts,omitempty"`
-	// Paused counts the streams that paused for longer than their target, by engine.
+	// Paused counts the streams with a pause longer than their gap target, by engine.
 	Paused map[string]int `json:"paused,omitempty"`
 }
 
-// SentPrompt is a prompt that a box sent to an engine, without the request's own part.
+// SentPrompt is a prompt that a box sent to an engine, without the last part, which is the request's own.
 type SentPrompt struct {
 	Upstream string        `json:"b"`
 	Blocks   []PrefixBlock `json:"s"`
@@ -32,7 +32,7 @@
 	Failed    int `json:"b,omitempty"`
 }
 
-// RecordOutcome counts a request to an upstream that ended, for this box and for its peers.
+// RecordOutcome counts a finished request to an upstream, for this box and for its peers.
 func (t *LoadTracker) RecordOutcome(id string, succeeded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,17 +46,17 @@
 	t.record(id).recordOutcome(succeeded, time.Now())
 }
 
-// recordOutcome counts a request that ended, on this box or on a peer.
+// recordOutcome counts a finished request of this box or of a peer.
 func (r *upstreamRecord) recordOutcome(succeeded bool, now time.Time) {
 	r.streak.recordOutcome(succeeded, now)
 	r.ejection.recordOutcome(succeeded)
 	if succeeded {
-		r.pauseShare.streamInTime()
+		r.pauseShare.increase()
 	}
 }
 
-// recordPrompt counts a prompt as cached by the engine and keeps it for the peers, if they are due
-// to get it. The caller holds the lock.
+// recordPrompt marks a prompt as cached by the engine, and queues it for the peers if it is due to be shared
+// with them. The caller holds the lock.
 func (t *LoadTracker) recordPrompt(id string, record *upstreamRecord, need Requirements) {
 	if record.cache == nil {
 		record.cache = newPrefixCache(prefixCacheCapacity(need.CacheTokens))
@@ -72,12 +72,12 @@
 func (t *LoadTracker) TakeObservations() Observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	observed := Observations{Prompts: t.pendingPrompts, Outcomes: t.pendingOutcomes, Paused: t.pendingPaused}
-	t.pendingPrompts, t.pendingOutcomes, t.pendingPaused = nil, map[string]Outcomes{}, map[string]int{}
+	observed := Observations{Prompts: t.pendingPrompts, Outcomes: t.pendingOutcomes, Paused: t.pendingPauses}
+	t.pendingPrompts, t.pendingOutcomes, t.pendingPauses = nil, map[string]Outcomes{}, map[string]int{}
 	return observed
 }
 
-// MergeObservations adds what a peer observed. It is not passed on by TakeObservations.
+// MergeObservations adds the observations of a peer. TakeObservations does not pass them on.
 func (t *LoadTracker) MergeObservations(observed Observations) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,14 +96,13 @@
 	}
 	for id, count := range observed.Paused {
 		for range min(count, maxMergedOutcomes) {
-			t.record(id).pauseShare.streamPaused()
+			t.record(id).pauseShare.decrease()
 		}
 	}
 }
 
-// mergePrompt counts a prompt that a peer sent as cached by the engine, and as known to the peers.
-// Before this box considers the engine for the first time, its memory is not known: the prompt is
-// then left out.
+// mergePrompt marks a prompt that a peer sent as cached by the engine and as known to the peers. It ignores
+// the prompt if this box has not considered the engine yet, because the engine's memory is then unknown.
 func (r *upstreamRecord) mergePrompt(blocks []PrefixBlock, now time.Time) {
 	if r.cache == nil {
 		if r.cacheCapacity == 0 {
--- a/pkg/dispatch/observations_test.go
+++ b/pkg/dispatch/observations_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("observations", func() {
-	It("have a peer count the prompts that an engine has cached, without each request's own part", func() {
+	It("tell a peer which prompts an engine has cached, without each request's own part", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need("x"), engines(1))
@@ -30,7 +30,7 @@
 		})
 	})
 
-	It("name a prompt that was sent again to the same engine only once in a while", func() {
+	It("include a prompt that is sent to the same engine repeatedly only once per interval", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			send := func() int {
@@ -47,7 +47,7 @@
 		})
 	})
 
-	It("are given out once", func() {
+	It("are returned only once", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			tracker.RecordOutcome("e0", true)
--- a/pkg/dispatch/pauses.go
+++ b/pkg/dispatch/pauses.go
@@ -1,39 +1,43 @@
 package dispatch
 
-// This file learns at which engines a long prompt has the streams beside it pause for too long.
+// This file learns at which engines a long prompt makes the running streams pause for too long.
 //
-// An engine reads prompts in pieces between the tokens of its streams, and so much within an event at most. At a fast engine
-// that is less than the pause that a route allows, however many prompts wait; at one that is a third slower a single long
-// prompt is more. Nobody says which is which. So each engine has a share of the allowed pause, which the streams there move:
-// one that pauses for too long takes off a part, the others give it back by and by. Prompts that take longer than the share
-// go to other engines that hold what they need.
+// An engine prefills prompts in chunks between the tokens of its streams, and only a limited amount per
+// event. At a fast engine this amount takes less than the gap target of a route, however many prompts wait.
+// At an engine that is a third slower, a single long prompt exceeds the target. No report tells which engines
+// are slow, so each engine has a share of the gap target that follows the streams observed there. A stream
+// that pauses for too long reduces the share, and streams within their target slowly restore it. A prompt
+// that takes longer than the share goes to another engine that has what the request needs.
 //
-// One box of many sees a stream of an engine once in many seconds: boxes tell each other.
-// Where all engines are slow, first tokens come later so.
+// One of many boxes sees a stream of a given engine only once in many seconds, so boxes share their
+// observations. Where all engines are slow, this delays first tokens.
 const (
-	// mostPauseShare is the share at first, and at most. The rest is for short prompts, which nobody reserves time for.
-	mostPauseShare = 0.9
-	// leastPauseShare bounds it: where all engines are slow, less only has prompts wait.
-	leastPauseShare = 0.55
-	// pauseShareGain is what a stream in time gives back, and pauseShareLoss the part that one with too long a pause takes.
-	// From the least to the most takes 350 streams.
+	// maxPauseShare is the initial and the largest share. The rest is left for short prompts, which are not
+	// reserved for.
+	maxPauseShare = 0.9
+	// minPauseShare is the smallest share. Where all engines are slow, a smaller one would only delay prompts.
+	minPauseShare = 0.55
+	// pauseShareGain is added for each stream within its target. pauseShareLoss is the fraction by which one
+	// that paused for too long reduces the share. Growing from minPauseShare to maxPauseShare takes 350 streams.
 	pauseShareGain = 0.001
 	pauseShareLoss = 0.3
 )
 
-// pauseShare is the part of the longest pause in time for which an engine may read prompts, and make the event's tokens.
+// pauseShare is the fraction of the gap target that an engine may spend on prefilling prompts and decoding
+// the tokens of one event.
 type pauseShare float64
 
-// streamInTime takes a stream that did not pause for too long.
-func (s *pauseShare) streamInTime() { *s = min(mostPauseShare, *s+pauseShareGain) }
+// increase raises the share after a stream that did not pause for too long.
+func (s *pauseShare) increase() { *s = min(maxPauseShare, *s+pauseShareGain) }
 
-// streamPaused takes a stream that paused for too long.
-func (s *pauseShare) streamPaused() { *s = max(leastPauseShare, *s*(1-pauseShareLoss)) }
+// decrease lowers the share after a stream that paused for too long.
+func (s *pauseShare) decrease() { *s = max(minPauseShare, *s*(1-pauseShareLoss)) }
 
-// RecordPause counts a stream of an engine that paused for longer than its target, for this box and its peers.
+// RecordPause counts a stream of an engine that paused for longer than its gap target, for this box and for
+// its peers.
 func (t *LoadTracker) RecordPause(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pendingPaused[id]++
-	t.record(id).pauseShare.streamPaused()
+	t.pendingPauses[id]++
+	t.record(id).pauseShare.decrease()
 }
--- a/pkg/dispatch/pauses_test.go
+++ b/pkg/dispatch/pauses_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("streams that pause for too long at an engine", func() {
-	// 12,000 tokens are read in 316 ms; the engine's answers to other boxes run beside them.
+	// The prefill of 12,000 tokens takes 316 ms, while the engine streams responses to other boxes.
 	long := dispatch.Requirements{Service: "s", Model: "m", PromptTokens: 12_000, GapTarget: 500 * time.Millisecond, EventTokens: 6}
 	streams := map[string]dispatch.Load{"e0": {Running: 3}, "e1": {Running: 3}}
 	choose := func(tracker *dispatch.LoadTracker, need dispatch.Requirements) dispatch.Choice {
@@ -21,7 +21,7 @@
 		return choice
 	}
 
-	It("keep long prompts away from it, and short ones not", func() {
+	It("keep long prompts away from it, but not short ones", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			tracker.RecordPause("e0")
@@ -37,7 +37,7 @@
 		})
 	})
 
-	It("take time off what it may read beside them, and give it back by and by", func() {
+	It("reduce its budget for prefill, which streams within their target slowly restore", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			budget := func() time.Duration {
@@ -56,7 +56,7 @@
 		})
 	})
 
-	It("count at all boxes", func() {
+	It("count on all boxes", func() {
 		spectest.Bubble(func() {
 			tracker, peer := dispatch.NewLoadTracker(), dispatch.NewLoadTracker()
 			tracker.RecordPause("e0")
--- a/pkg/dispatch/prediction.go
+++ b/pkg/dispatch/prediction.go
@@ -6,32 +6,31 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// The prediction goes by the times of an engine that runs a model of 70 billion parameters. How far
-// the model and the upstream are from that is learned as a factor.
+// Predictions start from the timings of an engine that runs a model of 70 billion parameters. Learned
+// factors correct them for other models and upstreams.
 const (
-	// prefillTokensPerMillisecond is how fast an engine reads prompts.
+	// prefillTokensPerMillisecond is the prefill speed of an engine.
 	prefillTokensPerMillisecond = 38.0
-	// stepTime is the time of one decoding step, and stepTimePerRunning what each running request
-	// adds to it.
+	// stepTime is the duration of one decoding step. Each running request adds stepTimePerRunning.
 	stepTime           = 5 * time.Millisecond
 	stepTimePerRunning = 20 * time.Microsecond
-	// prefillDelayPerRunning is the time by which each running request holds up the prompts.
+	// prefillDelayPerRunning is the delay that each running request adds to prefill.
 	prefillDelayPerRunning = time.Millisecond
-	// answerTokenTime is the engine time of one token of an answer, which shares its step with
-	// those of other requests.
+	// answerTokenTime is the engine time of one response token, which shares its decoding step with other
+	// requests.
 	answerTokenTime = 150 * time.Microsecond
 )
 
 const (
-	// fullPenalty is added where no slot or not enough memory is free.
+	// fullPenalty is added where there is not enough free memory, or no free slot and no known run time.
 	fullPenalty = 400 * time.Millisecond
-	// otherHallPenalty is added for the way to an upstream of another hall.
+	// otherHallPenalty is added for the network latency to an upstream of another hall.
 	otherHallPenalty = 2 * time.Millisecond
-	// memoryFullShare is the share of an engine's memory from which it counts as full.
+	// memoryFullShare is the fraction of an engine's memory above which it counts as full.
 	memoryFullShare = 0.92
 )
 
-// Requirements is what a request needs of an upstream.
+// Requirements are what a request needs of an upstream.
 type Requirements struct {
 	Service string
 	// Model and Adapter are empty for plain services.
@@ -40,36 +39,36 @@
 	// Blocks are the prefixes of the prompt, shortest first.
 	Blocks       []PrefixBlock
 	PromptTokens int
-	// AnswerTokens is the expected length of the answer, or the longest one that is allowed.
+	// AnswerTokens is the expected length of the response, or its limit.
 	AnswerTokens int
 	// Urgency of the request; 0 is the most urgent.
 	Urgency int
-	// CacheTokens is an engine's memory for prompts and answers, in tokens; 0 is unknown.
+	// CacheTokens is an engine's memory for prompts and responses, in tokens; 0 means unknown.
 	CacheTokens int
-	// GapTarget is the longest pause between two events that is in time; 0 sets no target.
+	// GapTarget is the longest acceptable pause between two events of a stream; 0 means no target.
 	GapTarget time.Duration
-	// EventTokens is how many tokens one event holds.
+	// EventTokens is the number of tokens in one event.
 	EventTokens int
 }
 
-// Choice is an upstream with what is expected there.
+// Choice is a chosen upstream with the predictions for it.
 type Choice struct {
 	Upstream *fleet.State
-	// Wait is the predicted time to the first token, or to the begin of a plain service's answer.
+	// Wait is the predicted time to the first token, or to the start of a plain service's response.
 	Wait time.Duration
 	// Pause is the predicted pause between two events of the streams that run there, while the engine
-	// reads the request's prompt and those ahead of it; 0 if none runs.
+	// prefills the request's prompt and those ahead of it; 0 if none runs.
 	Pause time.Duration
-	// read is how long the engine reads the request's prompt, and event how long it makes one event of each stream beside
-	// it; 0 for plain services.
-	read, event time.Duration
-	// pauseShare is the engine's.
+	// prefillTime is the time to prefill the request's prompt, and eventTime the time to decode one event of
+	// each running stream; both are 0 for plain services.
+	prefillTime, eventTime time.Duration
+	// pauseShare is the engine's current pauseShare.
 	pauseShare pauseShare
-	// work is the part of Wait that is the upstream's own: without penalties and the wait for a slot.
-	work time.Duration
-	// Uncached is the prompt tokens that the engine has to read; 0 for plain services.
+	// engineWait is Wait without penalties and without the wait for a slot.
+	engineWait time.Duration
+	// Uncached is the number of prompt tokens that the engine has to prefill; 0 for plain services.
 	Uncached int
-	// Load of the upstream from all boxes that the prediction went by.
+	// Load is the upstream's load from all boxes that the prediction is based on.
 	Load Load
 }
 
@@ -77,8 +76,8 @@
 //
 //	((ahead + uncached prompt) / prefill speed + running * delay) * model factor + step
 //
-// times the upstream's factor, and with the penalties of a full upstream and of another hall. The
-// caller holds the tracker's lock.
+// The result is multiplied by the upstream's factor. The wait for a slot and the penalties for full memory
+// and for another hall are added. The caller holds the tracker's lock.
 func (c *Chooser) predict(need Requirements, upstream *fleet.State, record *upstreamRecord) Choice {
 	load := c.Loads.total(upstream.ID, record)
 	record.cacheCapacity = prefixCacheCapacity(need.CacheTokens)
@@ -86,10 +85,10 @@
 	choice.Uncached = max(1, need.PromptTokens-record.cache.cachedTokens(need.Blocks))
 	choice.Pause = c.Loads.enginePause(need, load, choice.Uncached)
 	factor := record.factor * c.Loads.modelFactor(need.Model)
-	choice.read = scale(prefillTime(choice.Uncached), factor)
-	choice.event = scale(eventTime(need, load), factor)
-	choice.work = scale(c.Loads.engineWait(need, load, choice.Uncached), record.factor)
-	choice.Wait = choice.work + slotWait(load, upstream.Slots, record.runTime)
+	choice.prefillTime = scale(prefillTime(choice.Uncached), factor)
+	choice.eventTime = scale(eventTime(need, load), factor)
+	choice.engineWait = scale(c.Loads.engineWait(need, load, choice.Uncached), record.factor)
+	choice.Wait = choice.engineWait + slotWait(load, upstream.Slots, record.runTime)
 	if memoryFull(need, load) {
 		choice.Wait += fullPenalty
 	}
@@ -106,8 +105,9 @@
 	return scale(work, t.modelFactor(need.Model)) + step
 }
 
-// slotWait is the time until a slot is free at an engine, where a request leaves every runTime / slots.
-// Refusing by it, and not by a fixed penalty, keeps requests from queues that are longer than their target.
+// slotWait returns the time until a slot is free at an engine. With all slots taken, one request ends every
+// runTime / slots. Admission by this time instead of a fixed penalty keeps requests out of queues that are
+// longer than their target.
 func slotWait(load Load, slots int, runTime time.Duration) time.Duration {
 	if slots == 0 || load.Running < slots {
 		return 0
@@ -118,8 +118,8 @@
 	return scale(runTime, float64(load.Running-slots+1)/float64(slots))
 }
 
-// enginePause predicts the pause of the streams that run at an engine: an event takes a step for each of
-// its tokens, and prompts are read in between, however urgent they are.
+// enginePause predicts the pause of the streams that run at an engine. An event takes one decoding step per
+// token, and all waiting prompts are prefilled in between, whatever their urgency.
 func (t *LoadTracker) enginePause(need Requirements, load Load, uncached int) time.Duration {
 	if load.Running == 0 {
 		return 0
@@ -128,14 +128,13 @@
 	return scale(prefillTime(prompts)+eventTime(need, load), t.modelFactor(need.Model))
 }
 
-// eventTime is how long an engine takes to make one event of each stream, without the prompts that it reads in between.
+// eventTime returns how long an engine takes to decode one event of each stream, without the prefill in between.
 func eventTime(need Requirements, load Load) time.Duration {
 	step := stepTime + time.Duration(load.Running)*stepTimePerRunning
 	return time.Duration(max(1, need.EventTokens)) * step
 }
 
-// memoryFull reports whether the request has probably no room in an engine's memory beside those
-// that run there.
+// memoryFull reports whether an engine's memory probably has no room for the request beside the running ones.
 func memoryFull(need Requirements, load Load) bool {
 	taken := load.Tokens + need.PromptTokens + need.AnswerTokens
 	return need.CacheTokens > 0 && float64(taken) > memoryFullShare*float64(need.CacheTokens)
@@ -145,7 +144,7 @@
 	return time.Duration(float64(tokens) / prefillTokensPerMillisecond * float64(time.Millisecond))
 }
 
-// Work estimates the engine time that a request costs, which is the demand that placement goes by.
+// Work estimates the engine time that a request costs. Placement uses it as the demand.
 func (t *LoadTracker) Work(need Requirements, uncached int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/dispatch/prediction_test.go
+++ b/pkg/dispatch/prediction_test.go
@@ -10,7 +10,7 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// serve sends one request to the only engine and has its first token come after a time.
+// serve sends one request to the only engine. Its first token comes after firstToken of the predicted wait.
 func serve(tracker *dispatch.LoadTracker, request dispatch.Requirements, firstToken func(predicted time.Duration) time.Duration) dispatch.Choice {
 	chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
 	choice, ok := chooser.Choose(request, engines(1))
@@ -23,10 +23,10 @@
 }
 
 var _ = Describe("predictions", func() {
-	It("follow the first tokens that came, within bounds", func() {
+	It("are corrected by observed first tokens, within bounds", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
-			// Without blocks no prefix is cached: every request has to be read in full.
+			// Without blocks no prefix is cached: the whole prompt of every request is prefilled.
 			request := dispatch.Requirements{Model: "m", PromptTokens: 10_000, AnswerTokens: 10, CacheTokens: 1_000_000}
 			late := func(predicted time.Duration) time.Duration { return 3 * predicted }
 			first := serve(tracker, request, late)
@@ -41,7 +41,7 @@
 		})
 	})
 
-	It("leave out first tokens that were to come at once", func() {
+	It("do not learn from requests with a very short predicted wait", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			request := dispatch.Requirements{Model: "m", PromptTokens: 1, AnswerTokens: 10, CacheTokens: 1_000_000}
@@ -66,7 +66,7 @@
 		})
 	})
 
-	It("count the time until a slot is free by how long requests run there", func() {
+	It("derive the time until a slot is free from the run time of requests there", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
@@ -81,13 +81,13 @@
 				choice, _ := chooser.Choose(request, engines(1))
 				return choice.Wait
 			}
-			// Of eight slots one is free every quarter of a second.
+			// With eight slots and requests of 2 s, one slot becomes free every 250 ms.
 			Expect(wait(8) - wait(7)).To(BeNumerically("~", 250*time.Millisecond, 2*time.Millisecond))
 			Expect(wait(11) - wait(7)).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 		})
 	})
 
-	It("count the pause of the streams that run, by all prompts that are still to be read", func() {
+	It("include the pause of running streams, from all prompts that are not prefilled yet", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			chooser := &dispatch.Chooser{Loads: tracker, Hall: "z"}
@@ -100,7 +100,7 @@
 			alone := choose(dispatch.Load{})
 			Expect(alone.Pause).To(BeZero())
 			Expect(alone.Crowded(request)).To(BeFalse())
-			// Six steps of 5.02 ms and 100 ms of prompt.
+			// Six steps of 5.02 ms, and 100 ms of prefill.
 			few := choose(dispatch.Load{Running: 1})
 			Expect(few.Pause).To(BeNumerically("~", 130*time.Millisecond, time.Millisecond))
 			Expect(few.Crowded(request)).To(BeFalse())
--- a/pkg/dispatch/preferred.go
+++ b/pkg/dispatch/preferred.go
@@ -8,10 +8,10 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// preferredEngine is the candidate that all boxes prefer for a prompt, by rendezvous hashing: the
-// one with the highest hash of the prompt's shared prefix and its id. So prompts that share a
-// prefix meet on one engine before any has it cached, and only prompts of an engine that goes move
-// elsewhere. It is empty for a prompt without a shared prefix.
+// preferredEngine returns the candidate that all boxes prefer for a prompt, by rendezvous hashing: the one
+// with the highest hash of the prompt's shared prefix and its ID. Prompts that share a prefix thus go to the
+// same engine before any engine has it cached, and only the prompts of a removed engine move elsewhere. It
+// returns "" for a prompt without a shared prefix.
 func preferredEngine(need Requirements, candidates []*fleet.State) string {
 	shared := sharedBlocks(need.Blocks)
 	if len(shared) == 0 {
--- a/pkg/dispatch/prefixcache.go
+++ b/pkg/dispatch/prefixcache.go
@@ -6,45 +6,44 @@
 )
 
 const (
-	// prefixCacheShare is the part of an engine's memory, in tokens, that is expected to hold
-	// prefixes of earlier prompts.
+	// prefixCacheShare is the fraction of an engine's memory, in tokens, that is expected to hold prefixes
+	// of earlier prompts.
 	prefixCacheShare = 0.7
-	// reshareInterval is after how long the peers are sent a prompt again that goes to the same
-	// engine. In between they know it as well, only not that it was used again.
+	// reshareInterval is the time after which a prompt that goes to the same engine is sent to the peers
+	// again. Until then the peers have it in their model, but do not learn that it was used again.
 	reshareInterval = 5 * time.Second
 )
 
-// prefixCache models which prefixes one engine has cached: those used last, up to a number of
-// tokens. All boxes' prompts count, so that each box has about the same model of each engine.
+// prefixCache models which prefixes one engine has cached: the most recently used ones, up to a number of
+// tokens. The prompts of all boxes count, so that each box has about the same model of each engine.
 //
-// The prefix index of pkg/routing follows another rule: it cuts a prompt's text into blocks of
-// equal length, remembers only the last engine of each, and does not model engines' memory.
+// The prefix index of pkg/routing works differently: it cuts a prompt's text into blocks of equal length,
+// remembers only the last engine of each, and does not model engine memory.
 type prefixCache struct {
-	// capacity and tokens, which are taken, are in tokens.
+	// capacity and the tokens in use are both in tokens.
 	capacity int
 	tokens   int
-	// order has the block used last in front.
+	// order lists the blocks, most recently used first.
 	order   *list.List
 	entries map[uint64]*list.Element
 }
 
-// cachedBlock is a value of the cache's order.
+// cachedBlock is an element of prefixCache.order.
 type cachedBlock struct {
 	PrefixBlock
-	// sharedAt is when a prompt with the block was last shared between this box and a peer.
+	// sharedAt is when a prompt with this block was last exchanged between this box and its peers.
 	sharedAt time.Time
 }
 
-// prefixCacheCapacity is the tokens of prefixes that an engine with so many tokens of memory has
-// room for.
+// prefixCacheCapacity returns the number of prefix tokens that an engine with this memory, in tokens, holds.
 func prefixCacheCapacity(memory int) int { return int(prefixCacheShare * float64(memory)) }
 
 func newPrefixCache(capacity int) *prefixCache {
 	return &prefixCache{capacity: capacity, order: list.New(), entries: map[uint64]*list.Element{}}
 }
 
-// cachedTokens is the length of a prompt's prefix that the engine has probably cached. A nil cache
-// has none.
+// cachedTokens returns the length of the prompt's prefix that the engine has probably cached; 0 for a nil
+// cache.
 func (c *prefixCache) cachedTokens(blocks []PrefixBlock) int {
 	if c == nil {
 		return 0
@@ -59,7 +58,7 @@
 	return tokens
 }
 
-// add records that the engine was sent a prompt, and drops what was not used for longest.
+// add records that the engine was sent a prompt, and evicts the least recently used blocks.
 func (c *prefixCache) add(blocks []PrefixBlock) {
 	for _, block := range blocks {
 		if element, ok := c.entries[block.Key]; ok {
@@ -70,11 +69,11 @@
 		c.tokens += block.Tokens
 	}
 	for c.tokens > c.capacity && c.order.Len() > 0 {
-		c.dropOldest()
+		c.evictOldest()
 	}
 }
 
-func (c *prefixCache) dropOldest() {
+func (c *prefixCache) evictOldest() {
 	oldest := c.order.Back()
 	block := oldest.Value.(*cachedBlock)
 	c.order.Remove(oldest)
@@ -82,8 +81,8 @@
 	c.tokens -= block.Tokens
 }
 
-// markShared records that a prompt is shared with the peers now. It reports whether that is due: a
-// block was not shared for reshareInterval, or is not cached.
+// markShared marks a prompt as shared with the peers now. It reports whether sharing was due: a block is not
+// cached or was not shared for reshareInterval.
 func (c *prefixCache) markShared(blocks []PrefixBlock, now time.Time) bool {
 	due := false
 	for _, block := range blocks {
--- a/pkg/dispatch/prompt.go
+++ b/pkg/dispatch/prompt.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// PromptPart is one part of a prompt; requests share parts. The last part of a prompt is taken to be
-// the request's own.
+// PromptPart is one part of a prompt. Requests may share parts, except the last one, which is taken to be the
+// request's own.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -11,9 +11,9 @@
 
 // PrefixBlock is a prompt's prefix up to the end of one part, for one model and adapter.
 type PrefixBlock struct {
-	// Key is a hash of the model, the adapter and all parts up to here.
+	// Key is a hash of the model, the adapter and all parts up to this one.
 	Key uint64 `json:"k"`
-	// Tokens of the last part alone.
+	// Tokens is the length of the last part alone.
 	Tokens int `json:"t"`
 }
 
@@ -32,5 +32,5 @@
 	return blocks
 }
 
-// sharedBlocks is a prompt without its last part, which no other request has.
+// sharedBlocks returns the blocks of a prompt without the last one, which no other request shares.
 func sharedBlocks(blocks []PrefixBlock) []PrefixBlock { return blocks[:max(0, len(blocks)-1)] }
--- a/pkg/dispatch/rates_test.go
+++ b/pkg/dispatch/rates_test.go
@@ -11,12 +11,13 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// coldWay decides whether one of many boxes may send a request to a cold engine, and when to ask again.
-type coldWay func(box int, now time.Time) RateGrant
+// grantFunc decides whether one of many boxes may send a request to a cold engine now, and when it may ask again.
+type grantFunc func(box int, now time.Time) RateGrant
 
-// replayCold has boxes ask to send to one cold engine for as long as it is cold, each request on its way for up to requestTravel, and returns
-// the most that arrive in any second and all that arrive.
-func replayCold(boxes int, perSecond float64, span time.Duration, way coldWay) (worst, all int) {
+// simulateColdEngine makes boxes ask to send requests to one engine while it is cold. Each request takes up to
+// RateGrantLife + maxRequestTransit to arrive after its grant. It returns the highest number of arrivals in any
+// second and the number of all arrivals.
+func simulateColdEngine(boxes int, perSecond float64, span time.Duration, ask grantFunc) (worst, all int) {
 	random := rand.New(rand.NewPCG(1, uint64(boxes)))
 	begun := time.Unix(1000, 0)
 	next := make([]time.Time, boxes)
@@ -29,12 +30,12 @@
 			if now.Before(next[box]) || random.Float64() > perSecond*step.Seconds()/float64(boxes) {
 				continue
 			}
-			grant := way(box, now)
+			grant := ask(box, now)
 			if !grant.Granted {
 				next[box] = now.Add(grant.Wait)
 				continue
 			}
-			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+requestTravel)))
+			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+maxRequestTransit)))
 		}
 	}
 	for _, from := range arrivals {
@@ -55,8 +56,8 @@
 	tolerance := ColdTolerance{Overage: 1.5, Slack: 5}
 	bound := rate*tolerance.Overage + tolerance.Slack
 
-	// fixedParts gives each box its part of what all may send.
-	fixedParts := func(boxes int) coldWay {
+	// fixedParts gives each box an equal part of the rate.
+	fixedParts := func(boxes int) grantFunc {
 		accounts := make([]*RateAccounts, boxes)
 		for box := range accounts {
 			accounts[box] = NewRateAccounts(tolerance)
@@ -65,15 +66,15 @@
 			return accounts[box].Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
 		}
 	}
-	// oneKeeper is the way in use: one box grants for all.
-	oneKeeper := func(int) coldWay {
+	// oneKeeper is what the software does: one box grants for all.
+	oneKeeper := func(int) grantFunc {
 		keeper := NewRateAccounts(tolerance)
 		return func(_ int, now time.Time) RateGrant {
 			return keeper.Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1, now)
 		}
 	}
-	// bothSides is one keeper on each side of a cut, a third of the boxes on one.
-	bothSides := func(boxes int) coldWay {
+	// keeperPerSide has one keeper on each side of a network partition, with a third of the boxes on one side.
+	keeperPerSide := func(boxes int) grantFunc {
 		sides := []*RateAccounts{NewRateAccounts(tolerance), NewRateAccounts(tolerance)}
 		return func(box int, now time.Time) RateGrant {
 			side, share := 0, 2.0/3
@@ -84,21 +85,21 @@
 		}
 	}
 
-	It("stay within the bound by one keeper, who grants what the engine bears; fixed parts leave it idle", func() {
+	It("stay within the bound with one keeper, which grants what the engine can take; fixed parts leave it idle", func() {
 		for _, boxes := range []int{33, 91, 515} {
-			worst, all := replayCold(boxes, asked, cold, oneKeeper(boxes))
-			fixedWorst, fixedAll := replayCold(boxes, asked, cold, fixedParts(boxes))
-			cutWorst, cutAll := replayCold(boxes, asked, cold, bothSides(boxes))
-			GinkgoWriter.Printf("%d boxes: keeper %d in a second, %d in all; fixed parts %d, %d; a keeper on each side of a cut %d, %d\n",
-				boxes, worst, all, fixedWorst, fixedAll, cutWorst, cutAll)
+			worst, all := simulateColdEngine(boxes, asked, cold, oneKeeper(boxes))
+			fixedWorst, fixedAll := simulateColdEngine(boxes, asked, cold, fixedParts(boxes))
+			splitWorst, splitAll := simulateColdEngine(boxes, asked, cold, keeperPerSide(boxes))
+			GinkgoWriter.Printf("%d boxes: keeper %d in a second, %d in all; fixed parts %d, %d; a keeper on each side of a partition %d, %d\n",
+				boxes, worst, all, fixedWorst, fixedAll, splitWorst, splitAll)
 			Expect(float64(worst)).To(BeNumerically("<=", bound))
-			Expect(float64(cutWorst)).To(BeNumerically("<=", bound))
+			Expect(float64(splitWorst)).To(BeNumerically("<=", bound))
 			Expect(float64(all)).To(BeNumerically(">=", rate*cold.Seconds()*0.9))
 			Expect(fixedAll).To(BeNumerically("<", all/2))
 		}
 	})
 
-	It("are not granted by a keeper that has just taken over, or for an engine that bears none", func() {
+	It("are not granted by a keeper that has just taken over, or for an engine that can take none", func() {
 		keeper := NewRateAccounts(tolerance)
 		now := time.Unix(1000, 0)
 		Expect(keeper.Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1, now).Granted).To(BeFalse())
@@ -126,8 +127,8 @@
 	ask := func(perSecond float64) RateAsk {
 		return RateAsk{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e", PerSecond: &perSecond}}
 	}
-	// worstIn is the most of some requests within a window.
-	worstIn := func(sent []time.Duration) (worst int) {
+	// maxInWindow returns the highest number of requests within a window.
+	maxInWindow := func(sent []time.Duration) (worst int) {
 		first := 0
 		for last, at := range sent {
 			for at-sent[first] > window {
@@ -137,9 +138,9 @@
 		}
 		return worst
 	}
-	// replay has requests ask for a time at an account, all boxes together as often as given, and returns when they arrive, each some time after
-	// its grant.
-	replay := func(account *RateAccounts, share float64, boxes int, limit func(at time.Duration) float64, perSecond float64, span time.Duration) []time.Duration {
+	// simulate makes boxes ask an account for requests at perSecond in total. It returns the arrival times; each
+	// request arrives some time after its grant.
+	simulate := func(account *RateAccounts, share float64, boxes int, limit func(at time.Duration) float64, perSecond float64, span time.Duration) []time.Duration {
 		random := rand.New(rand.NewPCG(1, uint64(boxes)))
 		begun := time.Unix(1000, 0)
 		next := make([]time.Time, boxes)
@@ -158,7 +159,7 @@
 				next[box] = now.Add(grant.Wait)
 				continue
 			}
-			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+requestTravel)))
+			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+maxRequestTransit)))
 		}
 		slices.Sort(arrivals)
 		return arrivals
@@ -167,31 +168,31 @@
 		return func(time.Duration) float64 { return perSecond }
 	}
 
-	It("stay within the bound on any window, and leave little of it idle, by one keeper, at limits of any size", func() {
+	It("stay within the bound in any window and use most of the limit, with one keeper, at limits of any size", func() {
 		const span = 60 * time.Second
 		for _, boxes := range []int{7, 39, 515} {
 			for _, limit := range []float64{0.3, 1, 1.8, 8, 60} {
-				sent := replay(NewRateAccounts(ColdTolerance{}), 1, boxes, always(limit), 10*limit, span)
-				GinkgoWriter.Printf("%d boxes, limit %v: %d in a window, %d in all\n", boxes, limit, worstIn(sent), len(sent))
-				Expect(float64(worstIn(sent))).To(BeNumerically("<=", overage*limit*window.Seconds()+slack))
+				sent := simulate(NewRateAccounts(ColdTolerance{}), 1, boxes, always(limit), 10*limit, span)
+				GinkgoWriter.Printf("%d boxes, limit %v: %d in a window, %d in all\n", boxes, limit, maxInWindow(sent), len(sent))
+				Expect(float64(maxInWindow(sent))).To(BeNumerically("<=", overage*limit*window.Seconds()+slack))
 				Expect(float64(len(sent))).To(BeNumerically(">=", 0.8*limit*span.Seconds()))
-				Expect(float64(len(sent))).To(BeNumerically("<=", limit*span.Seconds()+max(leastLimitBurst, limit)))
+				Expect(float64(len(sent))).To(BeNumerically("<=", limit*span.Seconds()+max(minLimitBurst, limit)))
 			}
 		}
 	})
 
-	It("stay within it over both sides of a cut, and within each hall's part", func() {
+	It("stay within it over all sides of a network partition, and within each hall's part", func() {
 		const limit, span = 8.0, 30 * time.Second
 		var sent []time.Duration
 		for _, share := range []float64{1.0 / 7, 2.0 / 7, 4.0 / 7} {
-			sent = append(sent, replay(NewRateAccounts(ColdTolerance{}), share, 20, always(limit), 80, span)...)
+			sent = append(sent, simulate(NewRateAccounts(ColdTolerance{}), share, 20, always(limit), 80, span)...)
 		}
 		slices.Sort(sent)
-		Expect(float64(worstIn(sent))).To(BeNumerically("<=", overage*limit*window.Seconds()+slack))
+		Expect(float64(maxInWindow(sent))).To(BeNumerically("<=", overage*limit*window.Seconds()+slack))
 	})
 
-	It("follow a limit that falls and rises at once, and one of nothing at all slowly, so that its end is noticed", func() {
-		sent := replay(NewRateAccounts(ColdTolerance{}), 1, 7, func(at time.Duration) float64 {
+	It("follow a falling or rising limit at once, and are still sent slowly at a limit of 0, so that its end is noticed", func() {
+		sent := simulate(NewRateAccounts(ColdTolerance{}), 1, 7, func(at time.Duration) float64 {
 			switch {
 			case at < 20*time.Second:
 				return 40
@@ -210,12 +211,12 @@
 		}
 		Expect(count(21*time.Second, 25*time.Second)).To(BeNumerically("<=", 11))
 		Expect(count(41*time.Second, 45*time.Second)).To(BeNumerically(">", 120))
-		none := replay(NewRateAccounts(ColdTolerance{}), 1, 7, always(0), 100, 60*time.Second)
-		Expect(worstIn(none)).To(BeNumerically("<=", slack))
+		none := simulate(NewRateAccounts(ColdTolerance{}), 1, 7, always(0), 100, 60*time.Second)
+		Expect(maxInWindow(none)).To(BeNumerically("<=", slack))
 		Expect(none).NotTo(BeEmpty())
 	})
 
-	It("go to a cold one at the lower of both rates, and freely once the limit has ended", func() {
+	It("go to a cold upstream at the lower of both rates, and without bound once the limit has ended", func() {
 		accounts := NewRateAccounts(ColdTolerance{Overage: 1.5, Slack: 5})
 		cold := ask(100)
 		cold.ColdPerSecond = 2
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -6,68 +6,70 @@
 	"time"
 )
 
-// Reservation asks for an engine's time to read a prompt.
+// Reservation asks to reserve an engine's time to prefill a prompt.
 type Reservation struct {
 	Engine string `json:"engine"`
-	// Read is how long the engine reads the prompt.
+	// Read is how long the engine takes to prefill the prompt.
 	Read time.Duration `json:"read"`
-	// Window is a span in which the engine may read prompts for Budget at most, this one included.
+	// Window is a time span in which the engine may prefill for at most Budget, this prompt included.
 	Window time.Duration `json:"window"`
 	Budget time.Duration `json:"budget"`
 }
 
-// AnyBudget is the budget of a prompt that is sent however long the engine reads others.
+// AnyBudget is the budget of a prompt that is sent no matter how long the engine prefills others.
 const AnyBudget = time.Duration(math.MaxInt64)
 
-// ReservationAnswer answers a Reservation.
+// ReservationAnswer is the response to a Reservation.
 type ReservationAnswer struct {
 	// Taken means that the time is reserved.
 	Taken bool `json:"taken"`
-	// Wait is after how long it could be, if nobody else takes it; 0 if it is taken.
+	// Wait is the time after which it could be reserved, if nobody else takes it; 0 if it is taken.
 	Wait time.Duration `json:"wait,omitempty"`
 }
 
-// Reservations are when engines read the prompts that boxes reserved time for, one after the other. Nobody reports the end
-// of a prompt. They are advice: prompts that are sent without one, and engines that are slower than predicted, take longer
-// than they say. It is safe for concurrent use.
+// Reservations hold when engines prefill the prompts that boxes reserved time for, one prompt after the other.
+// The end of a prefill is not reported. Reservations are advisory: prompts sent without one, and engines slower
+// than predicted, take longer than recorded here. They are safe for concurrent use.
 //
-// One box keeps those of an engine for all others, which makes them as fresh as one call. The loads that boxes report to
-// each other are a quarter to two thirds of a second old, longer than a prompt takes to read: several boxes choose the same
-// idle engine, and each stream that runs there pauses until it has read all their prompts.
+// One box keeps the reservations of an engine for all boxes, so that they are only one call old. The loads that
+// boxes report to each other are a quarter to two thirds of a second old, longer than the prefill of a prompt.
+// By these loads several boxes choose the same idle engine, and each stream that runs there pauses until all
+// their prompts are prefilled.
 type Reservations struct {
 	mu sync.Mutex
-	// spans are those of each engine that are not over for longer than their window, the earliest first.
+	// spans holds, for each engine, the spans that ended no longer than their window ago, earliest first.
 	spans map[string][]span
 }
 
-// span is when an engine reads one prompt.
+// span is the predicted time in which an engine prefills one prompt.
 type span struct{ begin, end time.Time }
 
-// NewReservations returns reservations of idle engines.
+// NewReservations returns reservations without any span: all engines are idle.
 func NewReservations() *Reservations { return &Reservations{spans: map[string][]span{}} }
 
-// Reserve takes the time at an engine, if what it reads in the window that ends with the prompt is within the budget. A
-// prompt that is longer by itself is taken if the engine reads no other in that window.
+// Reserve reserves the time at an engine if its prefill time in the window that ends with the prompt stays
+// within the budget. A prompt that exceeds the budget by itself is accepted if the engine prefills no other
+// prompt in that window.
 func (r *Reservations) Reserve(asked Reservation, now time.Time) ReservationAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	spans := over(r.spans[asked.Engine], now.Add(-asked.Window))
+	spans := dropEnded(r.spans[asked.Engine], now.Add(-asked.Window))
 	begin := now
 	if len(spans) > 0 && spans[len(spans)-1].end.After(begin) {
 		begin = spans[len(spans)-1].end
 	}
 	next := span{begin: begin, end: begin.Add(asked.Read)}
-	others := readSince(spans, next.end.Add(-asked.Window))
+	others := prefillTimeSince(spans, next.end.Add(-asked.Window))
 	if excess := others - max(0, asked.Budget-asked.Read); excess > 0 {
-		r.keep(asked.Engine, spans)
-		return ReservationAnswer{Wait: passes(spans, next.end.Add(-asked.Window), excess)}
+		r.setSpans(asked.Engine, spans)
+		return ReservationAnswer{Wait: waitForBudget(spans, next.end.Add(-asked.Window), excess)}
 	}
-	r.keep(asked.Engine, append(spans, next))
+	r.setSpans(asked.Engine, append(spans, next))
 	return ReservationAnswer{Taken: true}
 }
 
-// keep keeps an engine's spans; one without any is dropped. The caller holds the lock.
-func (r *Reservations) keep(engine string, spans []span) {
+// setSpans stores an engine's spans and drops an engine without any. The caller holds the lock.
+func (r *Reservations) setSpans(engine string, spans []span) {
 	if len(spans) == 0 {
 		delete(r.spans, engine)
 		return
@@ -75,42 +77,43 @@
 	r.spans[engine] = spans
 }
 
-// over drops the spans that ended before a time.
-func over(spans []span, before time.Time) []span {
+// dropEnded drops the spans that ended by a time.
+func dropEnded(spans []span, before time.Time) []span {
 	for len(spans) > 0 && !spans[0].end.After(before) {
 		spans = spans[1:]
 	}
 	return spans
 }
 
-// readSince is for how long the engine reads after a time.
-func readSince(spans []span, since time.Time) time.Duration {
+// prefillTimeSince returns for how long the engine prefills after a time.
+func prefillTimeSince(spans []span, since time.Time) time.Duration {
 	var sum time.Duration
 	for _, s := range spans {
-		if begin := latest(s.begin, since); s.end.After(begin) {
+		if begin := laterOf(s.begin, since); s.end.After(begin) {
 			sum += s.end.Sub(begin)
 		}
 	}
 	return sum
 }
 
-// passes is how much later a window must begin than at a time for so much less reading in it.
-func passes(spans []span, from time.Time, excess time.Duration) time.Duration {
+// waitForBudget returns by how much a window that begins at windowBegin must move for the prefill time in it to
+// shrink by excess.
+func waitForBudget(spans []span, windowBegin time.Time, excess time.Duration) time.Duration {
 	for _, s := range spans {
-		begin := latest(s.begin, from)
+		begin := laterOf(s.begin, windowBegin)
 		if !s.end.After(begin) {
 			continue
 		}
 		length := s.end.Sub(begin)
 		if length >= excess {
-			return begin.Add(excess).Sub(from)
+			return begin.Add(excess).Sub(windowBegin)
 		}
 		excess -= length
 	}
 	return excess
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -118,20 +121,21 @@
 }
 
 const (
-	// reservedShare is the part of the longest pause in time from which reading a prompt is worth a reservation. Shorter ones
-	// pause streams little, and are many.
-	reservedShare = 0.1
-	// leastBudgetShare is the part of the longest pause in time that any engine may read prompts and make the event's
-	// tokens: an engine's pauseShare, where that is more.
-	leastBudgetShare = 0.7
+	// minReservedShare is the fraction of the gap target from which a prompt's prefill time is reserved.
+	// Shorter prompts pause streams little, and there are many of them.
+	minReservedShare = 0.1
+	// minBudgetShare is the fraction of the gap target that every engine may spend on prefilling and on
+	// decoding the event's tokens. An engine's pauseShare applies where it is larger.
+	minBudgetShare = 0.7
 )
 
-// Reservation returns what to reserve at the chosen engine, so that the streams there pause no longer than they may while it
-// reads the prompt and others. It reports false for a prompt that is too short to matter.
+// Reservation returns the reservation to make at the chosen engine, so that its streams pause no longer than
+// the gap target while it prefills this prompt and others. It reports false for a prompt that is too short to
+// matter, and for requests without a gap target.
 func (c *Choice) Reservation(need Requirements) (Reservation, bool) {
-	if need.GapTarget <= 0 || c.read < scale(need.GapTarget, reservedShare) {
+	if need.GapTarget <= 0 || c.prefillTime < scale(need.GapTarget, minReservedShare) {
 		return Reservation{}, false
 	}
-	budget := max(0, scale(need.GapTarget, max(leastBudgetShare, float64(c.pauseShare)))-c.event)
-	return Reservation{Engine: c.Upstream.ID, Read: c.read, Window: need.GapTarget, Budget: budget}, true
+	budget := max(0, scale(need.GapTarget, max(minBudgetShare, float64(c.pauseShare)))-c.eventTime)
+	return Reservation{Engine: c.Upstream.ID, Read: c.prefillTime, Window: need.GapTarget, Budget: budget}, true
 }
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -20,14 +20,14 @@
 	}
 	taken := dispatch.ReservationAnswer{Taken: true}
 
-	It("are taken while an engine reads no more than the budget in a window", func() {
+	It("are taken while an engine prefills for no longer than the budget in a window", func() {
 		r := dispatch.NewReservations()
 		Expect(r.Reserve(ask("a", read), begin)).To(Equal(taken))
-		By("telling when there is time")
+		By("telling when there will be time")
 		Expect(r.Reserve(ask("a", read), begin)).To(Equal(dispatch.ReservationAnswer{Wait: 80 * time.Millisecond}))
 		Expect(r.Reserve(ask("a", read), begin.Add(240*time.Millisecond)).Taken).To(BeFalse())
 		Expect(r.Reserve(ask("a", read), begin.Add(320*time.Millisecond))).To(Equal(taken))
-		By("keeping engines apart, and forgetting what is over")
+		By("keeping engines separate, and dropping spans that ended")
 		Expect(r.Reserve(ask("b", read), begin)).To(Equal(taken))
 		Expect(r.Reserve(ask("b", read), begin.Add(time.Hour))).To(Equal(taken))
 	})
@@ -40,14 +40,14 @@
 		Expect(r.Reserve(ask("a", 80*time.Millisecond), begin).Taken).To(BeFalse())
 	})
 
-	It("are taken for a prompt beyond the budget where the engine reads nothing else", func() {
+	It("are taken for a prompt beyond the budget if the engine prefills nothing else", func() {
 		r := dispatch.NewReservations()
 		Expect(r.Reserve(ask("a", time.Second), begin)).To(Equal(taken))
 		Expect(r.Reserve(ask("a", time.Second), begin.Add(1200*time.Millisecond))).To(Equal(taken))
 		Expect(r.Reserve(ask("a", read), begin.Add(1300*time.Millisecond)).Taken).To(BeFalse())
 	})
 
-	It("are taken in any case by who can't wait", func() {
+	It("are always taken for a request that can't wait", func() {
 		r := dispatch.NewReservations()
 		urgent := ask("a", read)
 		urgent.Budget = dispatch.AnyBudget
@@ -67,7 +67,7 @@
 		return choice.Reservation(need)
 	}
 
-	It("is the time to read a long prompt, within what a pause leaves beside an event's steps", func() {
+	It("is the prefill time of a long prompt, within the allowed pause less the time to decode an event", func() {
 		reserved, worthIt := choose(9190, 500*time.Millisecond)
 		Expect(worthIt).To(BeTrue())
 		Expect(reserved.Engine).To(Equal("e"))
@@ -76,7 +76,7 @@
 		Expect(reserved.Budget).To(Equal(420 * time.Millisecond))
 	})
 
-	It("is nothing for a short prompt, and where pauses do not matter", func() {
+	It("is nothing for a short prompt, or without a gap target", func() {
 		_, worthIt := choose(500, 500*time.Millisecond)
 		Expect(worthIt).To(BeFalse())
 		_, worthIt = choose(9190, 0)
@@ -84,7 +84,7 @@
 	})
 })
 
-// BenchmarkReserve takes time at one of many engines.
+// BenchmarkReserve reserves time at one of many engines.
 func BenchmarkReserve(b *testing.B) {
 	r := dispatch.NewReservations()
 	names := make([]string, 600)
--- a/pkg/dispatch/services.go
+++ b/pkg/dispatch/services.go
@@ -10,84 +10,86 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// This file chooses among the upstreams of a plain service, whose requests take a slot each for about the same time.
+// This file chooses among the upstreams of a plain service. Each request takes one slot for about the same time.
 //
-// The loads of other boxes are 0.05 to 0.65 s old, longer than such a request takes. If each box sends to the upstream that
-// was idle then, all send to the same one until the next report, and requests wait there while the others are idle. So each
-// box goes by what the upstreams have probably got since: it draws one at random, with shares that even out the time until
-// they have worked off what they have. With fresh loads that is the one with the least to do, with old ones each
-// according to its slots.
+// The loads of other boxes are 0.05 to 0.65 s old, longer than such a request takes. If every box sent to the
+// upstream that was idle then, all would send to the same one until the next report, and requests would wait
+// there while other upstreams are idle. So each box estimates what the upstreams have received since and chooses
+// one at random. The weights even out the time that the upstreams need to finish their requests. With fresh loads
+// this selects the least loaded upstream; with old loads it distributes by slots.
 const (
-	// answerTimeWeight is the weight of one answer in an upstream's answer time.
-	answerTimeWeight = 0.1
-	// answerTimeMemory is after how long without an answer an upstream's own answer time counts for 1/e beside that of the
-	// service: one that was slow gets few requests, and would stay slow in memory.
-	answerTimeMemory = 5 * time.Second
-	// firstAnswerTime is the answer time of a service that has not answered yet.
-	firstAnswerTime = 50 * time.Millisecond
-	// leastAnswerTime bounds an answer time, by which loads are divided.
-	leastAnswerTime = time.Millisecond
+	// responseTimeWeight is the weight of one response in an upstream's average response time.
+	responseTimeWeight = 0.1
+	// responseTimeDecay is the time without a response after which the weight of an upstream's own average
+	// falls to 1/e, and the average of the service replaces it. An upstream that was slow gets few requests
+	// and would otherwise be taken for slow long after.
+	responseTimeDecay = 5 * time.Second
+	// defaultResponseTime is used for a service that has not responded yet.
+	defaultResponseTime = 50 * time.Millisecond
+	// minResponseTime bounds response times from below, because loads are divided by them.
+	minResponseTime = time.Millisecond
 )
 
-// answerTime is how long an upstream of a plain service takes for a request, with the wait for a slot: a running mean.
-type answerTime struct {
+// responseTime is the moving average of an upstream's response time, including the wait for a slot.
+type responseTime struct {
 	mean time.Duration
-	// last is when the latest request was answered; zero if none was.
+	// last is the time of the latest response; zero if there was none.
 	last time.Time
 }
 
-// note takes the time of one request.
-func (a *answerTime) note(took time.Duration, now time.Time) {
+// add adds the response time of one request.
+func (a *responseTime) add(took time.Duration, now time.Time) {
 	if a.last.IsZero() {
 		a.mean = took
 	} else {
-		a.mean += scale(took-a.mean, answerTimeWeight)
+		a.mean += scale(took-a.mean, responseTimeWeight)
 	}
 	a.last = now
 }
 
-// expected is the time of a request now, given what is usual at the service.
-func (a *answerTime) expected(usual time.Duration, now time.Time) time.Duration {
+// expected returns the expected response time at a time, given the mean of the service.
+func (a *responseTime) expected(serviceMean time.Duration, now time.Time) time.Duration {
 	if a.last.IsZero() {
-		return max(leastAnswerTime, usual)
+		return max(minResponseTime, serviceMean)
 	}
-	own := math.Exp(-now.Sub(a.last).Seconds() / answerTimeMemory.Seconds())
-	return max(leastAnswerTime, usual+scale(a.mean-usual, own))
+	ownWeight := math.Exp(-now.Sub(a.last).Seconds() / responseTimeDecay.Seconds())
+	return max(minResponseTime, serviceMean+scale(a.mean-serviceMean, ownWeight))
 }
 
-// chooseService draws an upstream of a plain service. The caller holds the tracker's lock.
+// chooseService chooses a random upstream of a plain service, weighted by load. The caller holds the tracker's lock.
 func (c *Chooser) chooseService(candidates []*fleet.State, now time.Time) Choice {
 	upstreams, arrivals := c.serviceLoads(candidates, now)
-	choice := upstreams[draw(shares(upstreams, arrivals), rand.Float64())]
-	return Choice{Upstream: choice.state, Wait: choice.answer, Load: c.Loads.total(choice.state.ID, c.Loads.record(choice.state.ID))}
+	choice := upstreams[weightedIndex(waterFill(upstreams, arrivals), rand.Float64())]
+	return Choice{Upstream: choice.state, Wait: choice.responseTime, Load: c.Loads.total(choice.state.ID, c.Loads.record(choice.state.ID))}
 }
 
-// serviceLoad is what an upstream of a plain service has to do.
+// serviceLoad is the estimated load of an upstream of a plain service.
 type serviceLoad struct {
 	state *fleet.State
-	// requests that it probably has, of those that are known.
+	// requests is the estimated number of unfinished requests among those that are known.
 	requests float64
-	// rate is how many requests it answers in a second while all its slots are taken.
+	// rate is the number of requests finished per second while all slots are taken.
 	rate float64
-	// answer is how long a request takes.
-	answer time.Duration
+	// responseTime is the expected response time of one request.
+	responseTime time.Duration
 }
 
-// serviceLoads returns what the candidates probably have to do now, and how many requests were probably sent to all of them
-// since the other boxes reported, this one included. Ejected candidates are left out, unless all are.
+// serviceLoads returns the estimated loads of the candidates. arrivals is the estimated number of requests that
+// other boxes sent to all of them since their loads were reported, plus this one. Ejected candidates are left
+// out unless all are ejected.
 func (c *Chooser) serviceLoads(candidates []*fleet.State, now time.Time) (loads []serviceLoad, arrivals float64) {
-	failures := c.Loads.usualFailureShare(candidates)
-	usual := c.Loads.usualAnswerTime(candidates)
+	baselineFailures := c.Loads.baselineFailureRate(candidates)
+	meanResponseTime := c.Loads.meanResponseTime(candidates)
 	var ejected []serviceLoad
 	arrivals = 1
 	for _, state := range candidates {
 		record := c.Loads.record(state.ID)
-		load, sent := c.Loads.serviceLoad(state, record.answerTime.expected(usual, now), now)
-		if excess := record.ejection.failureShare - failures; excess > 0 {
+		load, sent := c.Loads.serviceLoad(state, record.responseTime.expected(meanResponseTime, now), now)
+		if excess := record.ejection.failureRate - baselineFailures; excess > 0 {
 			load.rate *= max(0, 1-excess)
 		}
 		arrivals += sent
-		if record.ejection.ejected(failures, now) {
+		if record.ejection.ejectIfOutlier(baselineFailures, now) {
 			ejected = append(ejected, load)
 		} else {
 			loads = append(loads, load)
@@ -99,48 +101,49 @@
 	return loads, arrivals
 }
 
-// serviceLoad returns what is left at an upstream of what was reported, with the requests of this box, and how many others
-// were probably sent there since: requests come as fast as they are answered on average, so that as many come in one answer
-// time as are under way. The caller holds the lock.
-func (t *LoadTracker) serviceLoad(state *fleet.State, answer time.Duration, now time.Time) (load serviceLoad, sent float64) {
+// serviceLoad returns the reported requests that are probably unfinished plus those of this box. sent is the
+// estimated number of requests that other boxes sent there since. It assumes that on average requests arrive as
+// fast as they finish: as many as are in flight arrive within one response time. The caller holds the lock.
+func (t *LoadTracker) serviceLoad(state *fleet.State, responseTime time.Duration, now time.Time) (load serviceLoad, sent float64) {
 	reported := float64(t.remote[state.ID].Running)
 	slots := float64(max(1, state.Slots))
-	passed := max(0, now.Sub(t.remoteAt)).Seconds() / answer.Seconds()
+	passed := max(0, now.Sub(t.remoteAt)).Seconds() / responseTime.Seconds()
 	load = serviceLoad{
-		state: state, answer: answer, rate: slots / answer.Seconds(),
+		state: state, responseTime: responseTime, rate: slots / responseTime.Seconds(),
 		requests: max(0, reported-min(reported, slots)*passed) + float64(t.record(state.ID).own.Running),
 	}
 	return load, reported * passed
 }
 
-// usualAnswerTime is the mean answer time of the candidates that answered. The caller holds the lock.
-func (t *LoadTracker) usualAnswerTime(candidates []*fleet.State) time.Duration {
+// meanResponseTime returns the mean response time of the candidates that have responded; defaultResponseTime if
+// none has. The caller holds the lock.
+func (t *LoadTracker) meanResponseTime(candidates []*fleet.State) time.Duration {
 	var sum time.Duration
 	known := 0
 	for _, state := range candidates {
-		if record := t.record(state.ID); !record.answerTime.last.IsZero() {
-			sum += record.answerTime.mean
+		if record := t.record(state.ID); !record.responseTime.last.IsZero() {
+			sum += record.responseTime.mean
 			known++
 		}
 	}
 	if known == 0 {
-		return firstAnswerTime
+		return defaultResponseTime
 	}
 	return sum / time.Duration(known)
 }
 
-// shares are how many of the arrivals each upstream gets, so that all those that get any have the same time of work before
-// them.
-func shares(upstreams []serviceLoad, arrivals float64) []float64 {
-	work := func(l serviceLoad) float64 { return l.requests / max(l.rate, math.SmallestNonzeroFloat32) }
+// waterFill divides the arrivals among the upstreams, so that all upstreams that get any have the same backlog,
+// measured as the time to finish it.
+func waterFill(upstreams []serviceLoad, arrivals float64) []float64 {
+	backlog := func(l serviceLoad) float64 { return l.requests / max(l.rate, math.SmallestNonzeroFloat32) }
 	order := slices.Clone(upstreams)
-	slices.SortFunc(order, func(a, b serviceLoad) int { return cmp.Compare(work(a), work(b)) })
+	slices.SortFunc(order, func(a, b serviceLoad) int { return cmp.Compare(backlog(a), backlog(b)) })
 	var rate, requests, level float64
 	for i, upstream := range order {
 		rate += upstream.rate
 		requests += upstream.requests
 		level = (arrivals + requests) / max(rate, math.SmallestNonzeroFloat32)
-		if i+1 < len(order) && level <= work(order[i+1]) {
+		if i+1 < len(order) && level <= backlog(order[i+1]) {
 			break
 		}
 	}
@@ -151,13 +154,13 @@
 	return list
 }
 
-// draw returns an index with the probability of its share; at is from 0 to 1.
-func draw(shares []float64, at float64) int {
+// weightedIndex returns the index at point, from 0 to 1, of the cumulated shares.
+func weightedIndex(shares []float64, point float64) int {
 	var sum float64
 	for _, share := range shares {
 		sum += share
 	}
-	left, last := at*sum, 0
+	left, last := point*sum, 0
 	for i, share := range shares {
 		if share <= 0 {
 			continue
--- a/pkg/dispatch/services_test.go
+++ b/pkg/dispatch/services_test.go
@@ -15,12 +15,12 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// plainService is a plain service of several upstreams with a few slots each, before boxes that report their loads to each
-// other once in a while.
+// plainService simulates a plain service with several upstreams of a few slots each, and boxes that exchange their
+// loads at an interval.
 type plainService struct {
 	boxes    int
-	exchange time.Duration
-	// perSecond is how many requests all boxes get, and work how long each upstream works on one.
+	exchangeInterval time.Duration
+	// perSecond is the request rate of all boxes together, and work how long each upstream works on a request.
 	perSecond float64
 	work      []time.Duration
 
@@ -29,7 +29,7 @@
 	loads   []*dispatch.LoadTracker
 	running sync.WaitGroup
 	mu      sync.Mutex
-	// waits are how long requests waited for a slot.
+	// waits holds how long each request waited for a slot.
 	waits []time.Duration
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// report has each box know what the others have under way now.
-func (s *plainService) report() {
+// exchangeLoads tells each box the present loads of the others.
+func (s *plainService) exchangeLoads() {
 	all := map[string]dispatch.Load{}
 	own := make([]map[string]dispatch.Load, s.boxes)
 	for i, tracker := range s.loads {
@@ -71,19 +71,19 @@
 	}
 }
 
-// reportUntil reports once each exchange until stop is closed.
-func (s *plainService) reportUntil(stop <-chan struct{}) {
+// exchangeLoadsUntil exchanges loads once per interval until stop is closed.
+func (s *plainService) exchangeLoadsUntil(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(s.exchange):
-			s.report()
+		case <-time.After(s.exchangeInterval):
+			s.exchangeLoads()
 		}
 	}
 }
 
-// request sends one request by a box, which waits for a slot and is worked on.
+// request sends one request from a box, which waits for a slot and is then worked on.
 func (s *plainService) request(tracker *dispatch.LoadTracker) {
 	need := dispatch.Requirements{Service: "s"}
 	choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need, s.states)
@@ -101,11 +101,11 @@
 	s.waits = append(s.waits, waited)
 }
 
-// play sends requests for 20 s at random times by random boxes.
-func (s *plainService) play() {
+// run sends requests for 20 s at random times from random boxes.
+func (s *plainService) run() {
 	random := rand.New(rand.NewPCG(3, 3))
 	stop := make(chan struct{})
-	go s.reportUntil(stop)
+	go s.exchangeLoadsUntil(stop)
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		time.Sleep(time.Duration(random.ExpFloat64() / s.perSecond * float64(time.Second)))
 		tracker := s.loads[random.IntN(s.boxes)]
@@ -115,8 +115,8 @@
 	close(stop)
 }
 
-// waitedLonger is the part of requests that waited for a slot for longer than a time.
-func (s *plainService) waitedLonger(than time.Duration) float64 {
+// shareWaitingLonger returns the fraction of requests that waited for a slot for longer than a time.
+func (s *plainService) shareWaitingLonger(than time.Duration) float64 {
 	count := 0
 	for _, wait := range s.waits {
 		if wait > than {
@@ -130,14 +130,14 @@
 	const usual = 60 * time.Millisecond
 	four := []time.Duration{usual, usual, usual, usual}
 
-	// 0.24 s is what an answer of 60 ms may wait within a target of 0.3 s.
+	// A request of 60 ms may wait for 0.24 s and still meet a target of 0.3 s.
 	DescribeTable("are spread over its upstreams, however old the loads are",
 		func(boxes int, exchange time.Duration, perSecond float64, work []time.Duration, most float64) {
 			spectest.Bubble(func() {
-				s := &plainService{boxes: boxes, exchange: exchange, perSecond: perSecond, work: work}
+				s := &plainService{boxes: boxes, exchangeInterval: exchange, perSecond: perSecond, work: work}
 				s.start()
-				s.play()
-				late := s.waitedLonger(240 * time.Millisecond)
+				s.run()
+				late := s.shareWaitingLonger(240 * time.Millisecond)
 				GinkgoWriter.Printf("%d requests, %.3f late\n", len(s.waits), late)
 				Expect(late).To(BeNumerically("<=", most))
 			})
@@ -151,7 +151,7 @@
 		Entry("7 boxes, 250 a second of 300", 7, 100*time.Millisecond, 250.0, four[:3], 0.01),
 	)
 
-	It("go to all upstreams that answer in no time", func() {
+	It("go to all upstreams even if responses take no time", func() {
 		spectest.Bubble(func() {
 			s := &plainService{boxes: 1, work: make([]time.Duration, 2)}
 			s.start()
@@ -167,9 +167,9 @@
 		})
 	})
 
-	It("go to an upstream again that was slow for a while", func() {
+	It("go again to an upstream that was slow for a while", func() {
 		spectest.Bubble(func() {
-			s := &plainService{boxes: 1, exchange: time.Second, work: slices.Clone(four[:2])}
+			s := &plainService{boxes: 1, exchangeInterval: time.Second, work: slices.Clone(four[:2])}
 			s.start()
 			s.work[1] = time.Second
 			for range 40 {
--- a/pkg/dispatch/ticket.go
+++ b/pkg/dispatch/ticket.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Ticket is one request under way at one upstream. Its load counts until End.
+// Ticket tracks one request in flight at one upstream. The request counts as load until End.
 type Ticket struct {
 	tracker  *LoadTracker
 	upstream string
 	model    string
 	load     Load
 	sentAt   time.Time
-	// predicted time to the first token when the request was sent, without penalties and the wait for a slot.
+	// predicted is the time to the first token as predicted when the request was sent, without penalties and
+	// without the wait for a slot.
 	predicted time.Duration
 	started   bool
 	startedAt time.Time
@@ -30,15 +31,15 @@
 		t.recordPrompt(id, record, need)
 	}
 	record.own.Add(load)
-	return &Ticket{tracker: t, upstream: id, model: need.Model, load: load, sentAt: time.Now(), predicted: choice.work}
+	return &Ticket{tracker: t, upstream: id, model: need.Model, load: load, sentAt: time.Now(), predicted: choice.engineWait}
 }
 
-// OnEnd has End call f once, with the tracker locked: f must not use the tracker. It is to be set
-// before the ticket is shared between goroutines.
+// OnEnd makes End call f once. The tracker is locked during the call, so f must not use it. OnEnd must be
+// called before the ticket is shared between goroutines.
 func (t *Ticket) OnEnd(f func()) { t.onEnd = f }
 
-// Started records the first token, or the begin of the answer of a plain service. Calls after the
-// first one and after End do nothing.
+// Started records the first token, or the start of a plain service's response. Calls after the first one and
+// after End do nothing.
 func (t *Ticket) Started() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -49,13 +50,13 @@
 	record := t.tracker.record(t.upstream)
 	record.own.finishPrefill(t.load)
 	if t.model == "" {
-		record.answerTime.note(t.startedAt.Sub(t.sentAt), t.startedAt)
+		record.responseTime.add(t.startedAt.Sub(t.sentAt), t.startedAt)
 		return
 	}
-	t.tracker.learn(record, t.model, t.predicted, time.Since(t.sentAt))
+	t.tracker.updateFactors(record, t.model, t.predicted, time.Since(t.sentAt))
 }
 
-// End records that the request is over, however it ended. Calls after the first one do nothing.
+// End records the end of the request, whatever its outcome. Calls after the first one do nothing.
 func (t *Ticket) End() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -70,7 +71,7 @@
 	if !t.started {
 		record.own.finishPrefill(t.load)
 	} else {
-		record.noteRun(time.Since(t.startedAt))
+		record.recordRunTime(time.Since(t.startedAt))
 	}
 	record.own.Running--
 	record.own.Tokens -= t.load.Tokens
--- a/pkg/dispatch/unresponsive.go
+++ b/pkg/dispatch/unresponsive.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// An upstream is unresponsive after this many failures in a row over this time, until a request
-// succeeds or none has failed for a while.
+// An upstream becomes unresponsive after unresponsiveFailures consecutive failures that span at least
+// unresponsiveMinSpan. This ends when a request succeeds or none has failed for unresponsiveTTL.
 const (
 	unresponsiveFailures = 3
-	unresponsiveSpan     = 300 * time.Millisecond
-	unresponsiveMemory   = 4 * time.Second
+	unresponsiveMinSpan  = 300 * time.Millisecond
+	unresponsiveTTL      = 4 * time.Second
 )
 
-// failureStreak counts an upstream's failures since its last success, on all boxes.
+// failureStreak counts an upstream's consecutive failures, over all boxes.
 type failureStreak struct {
 	failures    int
 	first, last time.Time
 }
 
-// Unresponsive reports whether an upstream seems to be gone though it is still listed: several
-// requests in a row failed and none succeeded. It is false for an unknown upstream.
+// Unresponsive reports whether an upstream seems to be gone although it is still listed: several requests in a
+// row failed and none succeeded. It returns false for an unknown upstream.
 func (t *LoadTracker) Unresponsive(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,8 +27,8 @@
 
 func (s *failureStreak) unresponsive(now time.Time) bool {
 	return s.failures >= unresponsiveFailures &&
-		s.last.Sub(s.first) >= unresponsiveSpan &&
-		now.Sub(s.last) < unresponsiveMemory
+		s.last.Sub(s.first) >= unresponsiveMinSpan &&
+		now.Sub(s.last) < unresponsiveTTL
 }
 
 func (s *failureStreak) recordOutcome(succeeded bool, now time.Time) {
@@ -36,7 +36,7 @@
 		s.failures = 0
 		return
 	}
-	if s.failures == 0 || now.Sub(s.last) >= unresponsiveMemory {
+	if s.failures == 0 || now.Sub(s.last) >= unresponsiveTTL {
 		s.failures, s.first = 0, now
 	}
 	s.failures++
--- a/pkg/dispatch/unresponsive_test.go
+++ b/pkg/dispatch/unresponsive_test.go
@@ -28,7 +28,7 @@
 		})
 	})
 
-	It("is so for peers that got the failures as observations, and no longer after a while without", func() {
+	It("is unresponsive for peers that merged the failures, until none came for a while", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			failures := dispatch.Observations{Outcomes: map[string]dispatch.Outcomes{"e0": {Failed: 2}}}
