--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Request is what admission goes by.
+// Request holds what decides about the admission of a request.
 type Request struct {
 	Customer string
-	// Weight of the customer against others; 0 means 1.
+	// Weight is the customer's weight in the fair share; 0 means 1.
 	Weight float64
-	// Limits that must all hold.
+	// Limits must all hold.
 	Limits []Limit
 	// Wait is the estimated time until a slot is free.
 	Wait time.Duration
-	// Target is the longest wait that the request may have.
+	// Target is the longest acceptable wait.
 	Target time.Duration
-	// Slots is how many requests all engines of the pool run at once, in the whole fleet.
+	// Slots is how many requests all engines of the pool in the whole fleet can run at once.
 	Slots int
 }
 
 // Controller admits the requests of one box. It is safe for concurrent use.
 type Controller struct {
-	// boxes returns how many boxes share the fleet's limits and slots.
+	// boxes returns the number of boxes that share the fleet's limits and slots.
 	boxes func() int
 
 	mu       sync.Mutex
 	limits   map[string]*limitState
 	inFlight int
-	// customers with requests in flight; others have no entry.
+	// customers holds those with requests in flight; others have no entry.
 	customers map[string]*customerState
 }
 
-// New returns a controller of one of so many boxes, which share the fleet's limits and slots; nil
-// means this box alone.
+// New returns a controller. boxes returns the number of boxes that share the fleet's limits and slots; nil means
+// one.
 func New(boxes func() int) *Controller {
 	if boxes == nil {
 		boxes = func() int { return 1 }
@@ -41,8 +41,8 @@
 	return &Controller{boxes: boxes, limits: map[string]*limitState{}, customers: map[string]*customerState{}}
 }
 
-// Admit admits a request and returns the function to call at its end, of which only the first call
-// counts, or refuses it. The target is checked first, then the fair share, then the limits.
+// Admit admits a request and returns a function to call at its end, or refuses it. Only the first call of the
+// function has an effect. The target is checked first, then the fair share, then the limits.
 func (c *Controller) Admit(r Request) (done func(), refusal *Refusal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,27 +50,27 @@
 	if r.Wait > r.Target {
 		return nil, refuse(ReasonTooLate, "", r.Wait-r.Target)
 	}
-	if excess := c.shareExcess(r, boxes); excess > 0 {
+	if excess := c.overShareWait(r, boxes); excess > 0 {
 		return nil, refuse(ReasonFairShare, "", excess)
 	}
 	if refusal := c.takeLimits(r.Limits, boxes); refusal != nil {
 		return nil, refusal
 	}
-	c.start(r)
+	c.addInFlight(r)
 	var once sync.Once
-	return func() { once.Do(func() { c.end(r) }) }, nil
+	return func() { once.Do(func() { c.removeInFlight(r) }) }, nil
 }
 
-// InFlight is the number of admitted requests that have not ended.
+// InFlight returns the number of admitted requests that have not ended.
 func (c *Controller) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inFlight
 }
 
-func (c *Controller) start(r Request) {
+func (c *Controller) addInFlight(r Request) {
 	c.inFlight++
-	customer := c.customer(r)
+	customer := c.customerStateFor(r)
 	customer.inFlight++
 	c.customers[r.Customer] = customer
 	for _, limit := range r.Limits {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (c *Controller) end(r Request) {
+func (c *Controller) removeInFlight(r Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -13,9 +13,10 @@
 
 func TestAdmission(t *testing.T) { spectest.Run(t, "Admission") }
 
-// surge has a hostile customer ask for far more than there is, beside a modest one, and
-// returns the modest one's refusals. One box has 8 slots; a request takes a second.
-func surge(hostile, modest string) (refused, asked int) {
+// simulateSurge lets a hostile customer send far more requests than there are slots, beside a modest customer. It
+// returns how many of the modest customer's requests were refused and how many it sent. One box has 8 slots, and a
+// request takes one second.
+func simulateSurge(hostile, modest string) (refused, asked int) {
 	spectest.Bubble(func() {
 		const slots = 8
 		controller := admission.New(nil)
@@ -51,13 +52,13 @@
 
 var _ = Describe("A customer that asks for far more than its share", func() {
 	It("takes nothing from another that asks for less", func() {
-		refused, asked := surge("hostile", "modest")
+		refused, asked := simulateSurge("hostile", "modest")
 		Expect(asked).To(Equal(120))
 		Expect(refused).To(BeZero())
 	})
 
-	It("would if customers were not distinguished (guard off)", func() {
-		refused, _ := surge("one", "one")
+	It("would take from it if customers were not distinguished (guard off)", func() {
+		refused, _ := simulateSurge("one", "one")
 		Expect(refused).To(BeNumerically(">", 60))
 	})
 })
--- a/pkg/admission/bench_test.go
+++ b/pkg/admission/bench_test.go
@@ -8,7 +8,7 @@
 	"ospreymoor.example/ospreymoor/pkg/admission"
 )
 
-// BenchmarkAdmit measures one admission while so many customers are active.
+// BenchmarkAdmit measures one admission with different numbers of active customers.
 func BenchmarkAdmit(b *testing.B) {
 	for _, customers := range []int{2, 50, 300} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
--- a/pkg/admission/fairshare.go
+++ b/pkg/admission/fairshare.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// shareTarget is the part of its target that a request of a customer beyond its share may wait. The
-// rest is left to other customers.
-const shareTarget = 0.5
+// overShareTarget is the fraction of its target that a request may wait if its customer is beyond its fair
+// share. The rest is left to other customers.
+const overShareTarget = 0.5
 
-// customerState is a customer with requests in flight on this box.
+// customerState is the state of a customer with requests in flight on this box.
 type customerState struct {
 	weight   float64
 	inFlight int
 }
 
-// shareExcess is how much longer the request would wait than a customer may that has its fair share
-// of this box's part of the slots in flight; 0 if it may run. The share is weighted against the
-// customers that have requests in flight now, and is one request at least.
-func (c *Controller) shareExcess(r Request, boxes int) time.Duration {
+// overShareWait returns by how much the request's wait exceeds what a customer may wait that already has its
+// fair share in flight; 0 if the request may run. The share is a part of this box's slots, weighted against
+// the customers that have requests in flight now, and at least one request.
+func (c *Controller) overShareWait(r Request, boxes int) time.Duration {
 	weight := weightOf(r.Weight)
-	weights := weight
+	totalWeight := weight
 	for name, customer := range c.customers {
 		if name != r.Customer {
-			weights += customer.weight
+			totalWeight += customer.weight
 		}
 	}
-	share := float64(r.Slots) / float64(boxes) * weight / weights
-	if float64(c.customer(r).inFlight) < max(1, share) {
+	share := float64(r.Slots) / float64(boxes) * weight / totalWeight
+	if float64(c.customerStateFor(r).inFlight) < max(1, share) {
 		return 0
 	}
-	return max(0, r.Wait-time.Duration(shareTarget*float64(r.Target)))
+	return max(0, r.Wait-time.Duration(overShareTarget*float64(r.Target)))
 }
 
-// customer returns the state of a request's customer, a new one if it has nothing in flight.
-func (c *Controller) customer(r Request) *customerState {
+// customerStateFor returns the state of the request's customer, or a new one if it has nothing in flight.
+func (c *Controller) customerStateFor(r Request) *customerState {
 	if state, ok := c.customers[r.Customer]; ok {
 		return state
 	}
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// burstTime is how much of a rate limit can be used at once.
-	burstTime = time.Second
-	// inFlightRetry is after how long a request that met an in-flight limit may be sent again.
+	// burstDuration is the burst of a rate limit, as time at its rate.
+	burstDuration = time.Second
+	// inFlightRetry is the time after which to retry a request that was refused by an in-flight limit.
 	inFlightRetry = time.Second
 )
 
-// Limit bounds one customer, model or service in the whole fleet; 0 is no limit.
+// Limit bounds the requests of one customer, model or service in the whole fleet; 0 means no limit.
 type Limit struct {
 	// Name identifies the limit, such as customer/model.
 	Name              string
 	RequestsPerSecond float64
-	// InFlight is the requests in flight at once. Each box takes its part rounded up.
+	// InFlight is the number of requests in flight at once. Each box takes its part, rounded up.
 	InFlight int
 }
 
@@ -30,12 +30,12 @@
 	inFlight int
 }
 
-// takeLimits takes a token of each rate limit, or none and returns a refusal if a limit is reached.
+// takeLimits takes a token from each rate limit. If a limit is reached, it takes none and returns a refusal.
 func (c *Controller) takeLimits(limits []Limit, boxes int) *Refusal {
 	now := time.Now()
 	for _, limit := range limits {
-		state := c.limit(limit, boxes)
-		if limit.InFlight > 0 && state.inFlight >= boxPart(limit.InFlight, boxes) {
+		state := c.limitStateFor(limit, boxes)
+		if limit.InFlight > 0 && state.inFlight >= perBoxLimit(limit.InFlight, boxes) {
 			return refuse(ReasonInFlight, limit.Name, inFlightRetry)
 		}
 		if limit.RequestsPerSecond > 0 && state.limiter.TokensAt(now) < 1 {
@@ -56,8 +56,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// limit returns a limit's state, with its rate set to this box's present part.
-func (c *Controller) limit(limit Limit, boxes int) *limitState {
+// limitStateFor returns a limit's state, with its rate set to this box's current part.
+func (c *Controller) limitStateFor(limit Limit, boxes int) *limitState {
 	state, ok := c.limits[limit.Name]
 	if !ok {
 		state = &limitState{}
@@ -67,7 +67,7 @@
 		return state
 	}
 	perBox := rate.Limit(limit.RequestsPerSecond / float64(boxes))
-	burst := max(1, int(math.Ceil(float64(perBox)*burstTime.Seconds())))
+	burst := max(1, int(math.Ceil(float64(perBox)*burstDuration.Seconds())))
 	switch {
 	case state.limiter == nil:
 		state.limiter = rate.NewLimiter(perBox, burst)
@@ -78,5 +78,5 @@
 	return state
 }
 
-// boxPart is one box's part of a limit, rounded up.
-func boxPart(limit, boxes int) int { return (limit + boxes - 1) / boxes }
+// perBoxLimit returns one box's part of a limit, rounded up.
+func perBoxLimit(limit, boxes int) int { return (limit + boxes - 1) / boxes }
--- a/pkg/admission/limits_test.go
+++ b/pkg/admission/limits_test.go
@@ -15,7 +15,7 @@
 		return admission.Request{Customer: "c", Slots: 100, Target: time.Second, Limits: limits}
 	}
 
-	It("of requests in flight is shared by the boxes, rounded up", func() {
+	It("of requests in flight is divided among the boxes, rounded up", func() {
 		controller := admission.New(func() int { return 2 })
 		limited := request(admission.Limit{Name: "c", InFlight: 3})
 		first, refusal := controller.Admit(limited)
@@ -32,7 +32,7 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	It("of requests a second is shared by the boxes, and follows their number", func() {
+	It("of requests per second is divided among the boxes, and follows their number", func() {
 		spectest.Bubble(func() {
 			boxes := 2
 			controller := admission.New(func() int { return boxes })
@@ -58,7 +58,7 @@
 		})
 	})
 
-	It("takes no token of the others when it refuses", func() {
+	It("takes no token of the other limits when it refuses", func() {
 		controller := admission.New(nil)
 		rate := admission.Limit{Name: "r", RequestsPerSecond: 1}
 		_, refusal := controller.Admit(request(rate, admission.Limit{Name: "f", InFlight: 1}))
@@ -72,7 +72,7 @@
 })
 
 var _ = Describe("A refusal", func() {
-	It("comes when the wait exceeds the target, with a bounded time to come back", func() {
+	It("comes when the wait exceeds the target, with a bounded time to retry", func() {
 		controller := admission.New(nil)
 		refused := func(wait time.Duration) time.Duration {
 			_, refusal := controller.Admit(admission.Request{Customer: "c", Slots: 1, Target: time.Second, Wait: wait})
--- a/pkg/admission/refusal.go
+++ b/pkg/admission/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Reasons of a refusal; they label the metrics.
+// Reasons of a refusal. They are label values of metrics.
 const (
 	ReasonRate      = "rate limit"
 	ReasonInFlight  = "in-flight limit"
@@ -14,15 +14,15 @@
 )
 
 const (
-	// minRetry and maxRetry bound the time to come back, before the jitter.
+	// minRetry and maxRetry bound the time to retry, before the jitter.
 	minRetry = 200 * time.Millisecond
 	maxRetry = time.Minute
-	// retryJitter is the part of the time to come back that is added at random at most, so that
-	// refused callers do not come back together.
+	// retryJitter is the largest fraction of the time to retry that is added at random, so that refused
+	// callers do not retry all at once.
 	retryJitter = 0.2
 )
 
-// Refusal is why a request is not admitted, and when to come back.
+// Refusal tells why a request is not admitted, and when to retry it.
 type Refusal struct {
 	Reason string
 	// Limit is the name of the limit that was reached, if one was.
