--- a/pkg/residency/adapterload.go
+++ b/pkg/residency/adapterload.go
@@ -58,7 +58,7 @@
 			// The adapter may be loaded, now or later: it keeps its slot until the engine's next report.
 			state.phase = phaseUncertain
 			e.orders.countKnown = false
-			e.backoff.cooldownUntil = time.Now().Add(uncertainCooldown)
+			e.deferral.cooldownUntil = time.Now().Add(uncertainCooldown)
 		}
 	})
 }
--- a/pkg/residency/adapterplace.go
+++ b/pkg/residency/adapterplace.go
@@ -77,7 +77,7 @@
 	if e.move.sendingOrders || e.adapters[key] != nil || !e.takesOrders(now) {
 		return 0, false
 	}
-	if now.Before(e.backoff.avoidUntil) {
+	if now.Before(e.deferral.avoidUntil) {
 		cost += avoidCost
 	}
 	idle := 0
--- a/pkg/residency/engine.go
+++ b/pkg/residency/engine.go
@@ -24,11 +24,11 @@
 	publishing sync.Mutex
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	orders  orderState
-	models  modelRecord
-	move    moveProgress
-	backoff backoff
+	mu       sync.Mutex
+	orders   orderState
+	models   modelRecord
+	move     moveProgress
+	deferral deferral
 	// adapters are those that are loaded or may be loaded.
 	adapters map[adapterKey]*adapterState
 	// sequence is that of the last published residency of the engine.
@@ -52,8 +52,8 @@
 	return m.loading == "" && m.unloading == "" && len(m.withdrawn) == 0
 }
 
-// backoff is how long an engine that failed is not used, or less preferred.
-type backoff struct {
+// deferral is how long an engine that failed gets no orders, or is less preferred than others.
+type deferral struct {
 	// cooldownUntil is the time until which the engine gets no orders.
 	cooldownUntil time.Time
 	// avoidUntil is the time until which other engines are preferred, because this one failed an order.
--- a/pkg/residency/enginereport.go
+++ b/pkg/residency/enginereport.go
@@ -52,7 +52,7 @@
 	if err := e.ensureOrderCount(ctx); err != nil {
 		e.controller.Log.Info("engine gave no report", zap.String("engine", e.id), logfield.Error(err))
 		e.mu.Lock()
-		e.backoff.cooldownUntil = time.Now().Add(reportCooldown)
+		e.deferral.cooldownUntil = time.Now().Add(reportCooldown)
 		e.mu.Unlock()
 		return
 	}
--- a/pkg/residency/move.go
+++ b/pkg/residency/move.go
@@ -82,7 +82,7 @@
 		e.move = moveProgress{}
 		if !result.done {
 			e.orders.countKnown = false
-			e.backoff.cooldownUntil = time.Now().Add(moveCooldown)
+			e.deferral.cooldownUntil = time.Now().Add(moveCooldown)
 		}
 	})
 	// The log lines of the move's orders tell why it failed.
--- a/pkg/residency/notice_test.go
+++ b/pkg/residency/notice_test.go
@@ -13,7 +13,7 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("an engine that announced that it leaves or needs rest", func() {
+var _ = Describe("an engine that announced that it leaves, or asked for a backoff", func() {
 	// calls records when each engine is sent an order or asked for a report, from now on.
 	calls := func(t *testFleet) func(engine string) []time.Duration {
 		begun := time.Now()
@@ -40,17 +40,17 @@
 		}
 	}
 
-	It("gets no order and is asked for no report until its rest is over", func() {
+	It("gets no order and is asked for no report until its backoff is over", func() {
 		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			called := calls(t)
-			const rest = 5 * time.Second
-			t.controller.Directory.Note("e0", fleet.Notice{Rest: rest})
+			const backoff = 5 * time.Second
+			t.controller.Directory.Note("e0", fleet.Notice{Rest: backoff})
 			t.run(12*time.Second, "m0", "m1", "m2", "m3")
 			Expect(called("e1")).NotTo(BeEmpty())
-			Expect(called("e1")[0]).To(BeNumerically("<", rest))
+			Expect(called("e1")[0]).To(BeNumerically("<", backoff))
 			Expect(called("e0")).NotTo(BeEmpty())
-			Expect(called("e0")[0]).To(BeNumerically(">=", rest))
+			Expect(called("e0")[0]).To(BeNumerically(">=", backoff))
 		})
 	})
 
--- a/pkg/residency/orderround.go
+++ b/pkg/residency/orderround.go
@@ -168,8 +168,8 @@
 }
 
 // unsentResult returns the result of an order that was not sent: Gone for an engine that leaves or whose
-// hall is evacuated, as it gets no more orders; otherwise Conflict, as an engine that rests may get the
-// order later.
+// hall is evacuated, as it gets no more orders; otherwise Conflict, as an engine that asked for a backoff
+// may get the order later.
 func unsentResult(err error) Result {
 	if errors.Is(err, fleet.ErrLeaving) || errors.Is(err, fleet.ErrEvacuated) {
 		return Gone
@@ -182,7 +182,7 @@
 func (e *engine) preferOthers() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.backoff.avoidUntil = time.Now().Add(avoidTime)
+	e.deferral.avoidUntil = time.Now().Add(avoidTime)
 }
 
 // ensureOrderCount asks the engine for a report if its order count is not known.
--- a/pkg/residency/permission.go
+++ b/pkg/residency/permission.go
@@ -29,10 +29,10 @@
 }
 
 // takesOrders reports whether the engine may be sent orders now: it has no cooldown after a failure, did not
-// ask for rest, and mayBegin. The caller holds the lock.
+// ask for a backoff, and mayBegin. The caller holds the lock.
 func (e *engine) takesOrders(now time.Time) bool {
-	_, resting := e.controller.Directory.Resting(e.id)
-	return !resting && now.After(e.backoff.cooldownUntil) && e.mayBegin()
+	_, inBackoff := e.controller.Directory.Resting(e.id)
+	return !inBackoff && now.After(e.deferral.cooldownUntil) && e.mayBegin()
 }
 
 // enterTerm discards the state that was learned under another term.
--- a/pkg/residency/replicaworth.go
+++ b/pkg/residency/replicaworth.go
@@ -14,7 +14,7 @@
 	// demandValue is added to requestedModelValue for each unit of the model's demand.
 	demandValue = 3
 	// hallBonus is the value of a busy model's first replica in a hall, in squared engine time for each unit
-	// of the model's demand: a hall that is cut off can serve only the models it holds.
+	// of the model's demand: a hall that a network partition cuts off can serve only the models it holds.
 	hallBonus = 0.25
 	// freeMemoryCost is the fraction of a move's cost that applies if nothing is evicted.
 	freeMemoryCost = 0.35
