--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -10,7 +10,7 @@
 
 const gib = 1 << 30
 
-// fleetOf is a fleet of so many engines in four halls with so many models.
+// fleetOf returns a fleet with the given number of engines in four halls, and the given number of models.
 func fleetOf(engines, models int) placement.Input {
 	in := placement.Input{Settings: placement.Settings{MoveCost: 0.2, MaxLoads: 1 << 20}, Now: time.Unix(1000, 0)}
 	for e := range engines {
@@ -32,7 +32,7 @@
 	return in
 }
 
-// confirm has every engine hold what the plan wants of it.
+// confirm makes every engine hold what the plan has on it.
 func confirm(in *placement.Input, plan placement.Plan) {
 	in.Last = plan
 	for i := range in.Engines {
--- a/pkg/placement/builder.go
+++ b/pkg/placement/builder.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// unit is a unit while a plan is made.
+// unit is a unit together with the planner's state of it.
 type unit struct {
 	Unit
-	// wanted units are named by a bundle in force.
+	// wanted reports that a bundle in force contains the unit.
 	wanted bool
-	// retired is when the unit was first neither wanted nor serving.
+	// retired is when the unit was first neither wanted nor serving; zero while it is either.
 	retired time.Time
-	// on holds the engines that shall have a replica, with the number of the plan that added it.
-	on map[string]int64
+	// replicas holds the ids of the engines that shall have a replica, with the number of the plan that
+	// added it.
+	replicas map[string]int64
 }
 
-// engine is an engine while a plan is made.
+// engine is an engine together with the planner's state of it.
 type engine struct {
 	Engine
-	// free is memory less all that is planned here, in bytes; below 0 the engine is overfull.
+	// free is the engine's memory less all that is planned on it, in bytes. It is negative if the plan
+	// exceeds the memory.
 	free int64
-	// units planned here, by item name.
+	// units are those planned on the engine, by item name.
 	units map[string]*unit
 }
 
@@ -30,16 +32,17 @@
 	in      Input
 	number  int64
 	engines map[string]*engine
-	// order holds the engines by id, so that ties are always decided alike.
-	order []*engine
-	// units by item name, and the item that serves each model.
+	// sortedEngines holds the engines in the order of their ids, so that ties are always decided in the same
+	// way.
+	sortedEngines []*engine
+	// units holds the units by item name, and serving the item that serves each model.
 	units   map[string]*unit
 	serving map[string]string
-	// pending counts planned replicas that are not confirmed.
-	pending int
+	// pendingLoads counts planned replicas on usable engines that the engines have not confirmed.
+	pendingLoads int
 }
 
-// newBuilder takes the engines and the wanted units of in, without any replica yet.
+// newBuilder returns a builder with the engines and the wanted units of in, without any replicas.
 func newBuilder(in Input) *builder {
 	if in.Settings.Replicas == 0 {
 		in.Settings.Replicas = defaultReplicas
@@ -57,40 +60,40 @@
 	for _, e := range in.Engines {
 		state := &engine{Engine: e, free: e.Memory, units: map[string]*unit{}}
 		b.engines[e.ID] = state
-		b.order = append(b.order, state)
+		b.sortedEngines = append(b.sortedEngines, state)
 	}
-	sort.Slice(b.order, func(i, j int) bool { return b.order[i].ID < b.order[j].ID })
+	sort.Slice(b.sortedEngines, func(i, j int) bool { return b.sortedEngines[i].ID < b.sortedEngines[j].ID })
 	for _, u := range in.Wanted {
-		b.units[u.Item.Name] = &unit{Unit: u, wanted: true, on: map[string]int64{}}
+		b.units[u.Item.Name] = &unit{Unit: u, wanted: true, replicas: map[string]int64{}}
 	}
 	return b
 }
 
-// add plans a new replica of u on e.
-func (b *builder) add(u *unit, e *engine) { b.addSince(u, e, b.number) }
+// addReplica plans a new replica of u on e.
+func (b *builder) addReplica(u *unit, e *engine) { b.addReplicaSince(u, e, b.number) }
 
-// addSince plans a replica that the plan of a number added.
-func (b *builder) addSince(u *unit, e *engine, since int64) {
-	u.on[e.ID] = since
+// addReplicaSince plans a replica of u on e that was added by the plan with the number since.
+func (b *builder) addReplicaSince(u *unit, e *engine, since int64) {
+	u.replicas[e.ID] = since
 	e.units[u.Item.Name] = u
 	e.free -= u.Bytes()
 	if !e.holds(u) && e.Condition == Usable {
-		b.pending++
+		b.pendingLoads++
 	}
 }
 
-// remove plans away the replica of u on e.
-func (b *builder) remove(u *unit, e *engine) {
-	delete(u.on, e.ID)
+// removeReplica removes the replica of u on e from the plan.
+func (b *builder) removeReplica(u *unit, e *engine) {
+	delete(u.replicas, e.ID)
 	delete(e.units, u.Item.Name)
 	e.free += u.Bytes()
 	if !e.holds(u) && e.Condition == Usable {
-		b.pending--
+		b.pendingLoads--
 	}
 }
 
-// sorted lists the units that keep accepts, by name.
-func (b *builder) sorted(keep func(*unit) bool) []*unit {
+// sortedUnits returns the units that keep accepts, by name.
+func (b *builder) sortedUnits(keep func(*unit) bool) []*unit {
 	var units []*unit
 	for _, u := range b.units {
 		if keep(u) {
@@ -101,8 +104,8 @@
 	return units
 }
 
-// sorted lists the units planned on e, by name.
-func (e *engine) sorted() []*unit {
+// sortedUnits returns the units planned on e, by name.
+func (e *engine) sortedUnits() []*unit {
 	units := make([]*unit, 0, len(e.units))
 	for _, u := range e.units {
 		units = append(units, u)
@@ -111,13 +114,13 @@
 	return units
 }
 
-// plannedOn reports whether the engine shall hold a replica of u.
+// plannedOn reports whether the plan has a replica of u on the engine.
 func (u *unit) plannedOn(id string) bool {
-	_, ok := u.on[id]
+	_, ok := u.replicas[id]
 	return ok
 }
 
-// demandPerReplica is the demand on one replica, in requests in flight.
+// demandPerReplica returns the demand on one replica, in requests in flight.
 func (u *unit) demandPerReplica() float64 {
-	return u.Demand / float64(max(1, len(u.on)))
+	return u.Demand / float64(max(1, len(u.replicas)))
 }
--- a/pkg/placement/demand.go
+++ b/pkg/placement/demand.go
@@ -5,29 +5,30 @@
 	"sort"
 )
 
-// When a replica is worth a move: an engine above hotLoad gets one of its units a further replica
-// elsewhere if loadCost falls by more than Settings.MoveCost for the load and for each eviction.
-// Loads are in requests in flight, weighed against the slots of each engine. Evictions count with
-// the load that they push onto the replicas left, so that replicas do not go to and fro.
+// A unit on an engine above highUtilization gets a further replica on another engine if loadCost falls by more than
+// Settings.MoveCost for the load and for each eviction. Demand is in requests in flight, relative to the slots of
+// each engine. The cost of an eviction includes the demand that it moves to the remaining replicas, so that replicas
+// do not move back and forth.
 
 const (
-	// calmLoad is the share of an engine's slots up to which load costs nothing.
-	calmLoad = 0.6
-	// hotLoad is the share of an engine's slots above which replicas are added.
-	hotLoad = 0.75
-	// splitRounds is the number of rounds that even out the split of demand.
-	splitRounds = 6
-	// hottestTried is the number of hot engines tried for one more replica.
-	hottestTried = 8
-	// leastRoom is the share of an engine's slots that is always counted as free, so that no
-	// replica's part falls to nothing.
-	leastRoom = 0.05
+	// costFreeUtilization is the fraction of an engine's slots up to which demand costs nothing.
+	costFreeUtilization = 0.6
+	// highUtilization is the fraction of an engine's slots above which replicas are added elsewhere.
+	highUtilization = 0.75
+	// balancingRounds is the number of rounds in which split balances the demand.
+	balancingRounds = 6
+	// maxHotEngines bounds the number of engines above highUtilization for which one more replica is
+	// considered.
+	maxHotEngines = 8
+	// minFreeShare is the fraction of an engine's slots that always counts as free, so that every replica
+	// gets some demand.
+	minFreeShare = 0.05
 )
 
-// followDemand adds replicas of the units that load the hottest engines, as long as the relief
-// is worth more than the move. A replica that is resident already needs no load, so that the
-// loads under way alone would not bound the additions.
-func (b *builder) followDemand() {
+// addReplicasForDemand adds replicas of units on the most utilized engines, as long as the gain exceeds the
+// cost of the move. Settings.MaxLoads also bounds the number of additions: a replica that is already
+// resident needs no load, so that the bound on loads under way alone would not end the loop.
+func (b *builder) addReplicasForDemand() {
 	for range b.in.Settings.MaxLoads {
 		if !b.mayLoad() || !b.addBestReplica(b.split()) {
 			return
@@ -37,17 +38,17 @@
 
 // load is the demand on the engines, in requests in flight.
 type load struct {
-	// share is the demand of one unit on one engine, by engine id.
+	// share is the demand of each unit on each engine, by engine id.
 	share map[*unit]map[string]float64
-	// total is the demand on one engine, by engine id.
+	// total is the demand on each engine, by engine id.
 	total map[string]float64
 }
 
-// split divides each unit's demand over its replicas, confirmed or not, so that engines get
-// even, as routing by estimated wait does.
+// split divides the demand of each unit over its replicas on usable engines, confirmed or not, so that the
+// engines are about equally utilized, as they are under routing by estimated wait.
 func (b *builder) split() load {
 	l := load{share: map[*unit]map[string]float64{}, total: map[string]float64{}}
-	units := b.sorted(func(u *unit) bool { return b.carriesDemand(u) })
+	units := b.sortedUnits(func(u *unit) bool { return b.carriesDemand(u) })
 	for _, u := range units {
 		l.share[u] = map[string]float64{}
 		ids := b.usableIDs(u)
@@ -56,47 +57,47 @@
 			l.total[id] += l.share[u][id]
 		}
 	}
-	for range splitRounds {
+	for range balancingRounds {
 		for _, u := range units {
-			b.evenOut(l, u)
+			b.balance(l, u)
 		}
 	}
 	return l
 }
 
-// evenOut moves u's demand halfway towards its least loaded replicas.
-func (b *builder) evenOut(l load, u *unit) {
+// balance moves u's demand halfway towards a split in proportion to the free slots of its engines.
+func (b *builder) balance(l load, u *unit) {
 	ids := b.usableIDs(u)
 	if len(ids) < 2 {
 		return
 	}
 	room := 0.0
 	for _, id := range ids {
-		room += b.slotsLeftBeside(l, u, id)
+		room += b.freeSlotsWithout(l, u, id)
 	}
 	if room == 0 {
 		return
 	}
 	for _, id := range ids {
-		aim := u.Demand * b.slotsLeftBeside(l, u, id) / room
+		aim := u.Demand * b.freeSlotsWithout(l, u, id) / room
 		change := (aim - l.share[u][id]) / 2
 		l.share[u][id] += change
 		l.total[id] += change
 	}
 }
 
-// slotsLeftBeside is the number of slots that an engine has left beside u, never none.
-func (b *builder) slotsLeftBeside(l load, u *unit, id string) float64 {
+// freeSlotsWithout returns the number of free slots on an engine if u's demand is left out. It is never 0.
+func (b *builder) freeSlotsWithout(l load, u *unit, id string) float64 {
 	slots := float64(max(1, b.engines[id].Slots))
-	return max(leastRoom*slots, slots-(l.total[id]-l.share[u][id]))
+	return max(minFreeShare*slots, slots-(l.total[id]-l.share[u][id]))
 }
 
-// addBestReplica adds the replica that relieves the hottest engine most, and reports whether one
-// was worth a move.
+// addBestReplica adds the replica with the highest gain for the most utilized engine that has one, and
+// reports whether there was one.
 func (b *builder) addBestReplica(l load) bool {
-	for _, hot := range b.hottest(l) {
+	for _, hot := range b.hotEngines(l) {
 		var best addition
-		for _, u := range hot.sorted() {
+		for _, u := range hot.sortedUnits() {
 			if !b.carriesDemand(u) || l.share[u][hot.ID] == 0 {
 				continue
 			}
@@ -108,15 +109,15 @@
 			continue
 		}
 		for _, evicted := range best.evictions {
-			b.remove(evicted, best.target)
+			b.removeReplica(evicted, best.target)
 		}
-		b.add(best.unit, best.target)
+		b.addReplica(best.unit, best.target)
 		return true
 	}
 	return false
 }
 
-// addition is one more replica and its gain.
+// addition is a further replica with its evictions and its gain.
 type addition struct {
 	unit      *unit
 	target    *engine
@@ -125,11 +126,11 @@
 	gain float64
 }
 
-// bestTarget is the engine that gains most from one more replica of u; its unit is nil if no
-// gain exceeds the cost of the moves.
+// bestTarget returns the addition of u on the engine with the highest gain. Its unit is nil if no gain
+// exceeds the cost of the moves.
 func (b *builder) bestTarget(l load, hot *engine, u *unit) addition {
 	var best addition
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if !b.accepts(e, u) || b.utilization(l, e) >= b.utilization(l, hot) {
 			continue
 		}
@@ -145,26 +146,27 @@
 	return best
 }
 
-// gain is the fall of loadCost when u's demand on hot is shared with e in the best proportion.
+// gain returns the fall of loadCost if hot shares u's demand with e in the best proportion.
 func (b *builder) gain(l load, hot, e *engine, u *unit, evictions []*unit) float64 {
 	hotSlots, slots := float64(max(1, hot.Slots)), float64(max(1, e.Slots))
 	hotLoadNow, loadNow := l.total[hot.ID], l.total[e.ID]
 	for _, evicted := range evictions {
 		loadNow -= l.share[evicted][e.ID]
 	}
-	// Equal utilization of both costs least.
+	// The cost is lowest if both engines are equally utilized.
 	moved := (hotLoadNow*slots - loadNow*hotSlots) / (hotSlots + slots)
 	moved = max(0, min(moved, l.share[u][hot.ID]))
 	before := loadCost(hotLoadNow, hotSlots) + loadCost(loadNow, slots)
 	after := loadCost(hotLoadNow-moved, hotSlots) + loadCost(loadNow+moved, slots)
 	for _, evicted := range evictions {
-		after += b.crowding(l, evicted, e)
+		after += b.evictionCost(l, evicted, e)
 	}
 	return before - after
 }
 
-// crowding is the growth of loadCost at u's other replicas when the one on e goes.
-func (b *builder) crowding(l load, u *unit, e *engine) float64 {
+// evictionCost returns the growth of loadCost on the engines of u's other replicas if the replica on e is
+// evicted.
+func (b *builder) evictionCost(l load, u *unit, e *engine) float64 {
 	ids := b.usableIDs(u)
 	if len(ids) < 2 {
 		return 0
@@ -180,26 +182,27 @@
 	return growth
 }
 
-// loadCost is the cost of a load on an engine of so many slots: none up to calmLoad, then the
-// square of the excess share, times the slots.
+// loadCost returns the cost of the demand on an engine with this number of slots. It is 0 up to
+// costFreeUtilization; above, it is the square of the excess fraction, times the slots.
 func loadCost(load, slots float64) float64 {
-	over := max(0, load/slots-calmLoad)
+	over := max(0, load/slots-costFreeUtilization)
 	return over * over * slots
 }
 
-// hottest lists the engines above hotLoad, hottest first.
-func (b *builder) hottest(l load) []*engine {
+// hotEngines returns the engines above highUtilization, most utilized first, at most maxHotEngines of them.
+func (b *builder) hotEngines(l load) []*engine {
 	var hot []*engine
-	for _, e := range b.order {
-		if b.utilization(l, e) > hotLoad {
+	for _, e := range b.sortedEngines {
+		if b.utilization(l, e) > highUtilization {
 			hot = append(hot, e)
 		}
 	}
 	sort.SliceStable(hot, func(i, j int) bool { return b.utilization(l, hot[i]) > b.utilization(l, hot[j]) })
-	return hot[:min(len(hot), hottestTried)]
+	return hot[:min(len(hot), maxHotEngines)]
 }
 
-// utilization is an engine's load as a share of its slots, without bound if it is not usable.
+// utilization returns the demand on an engine as a fraction of its slots. It is infinite for an engine that
+// is not usable.
 func (b *builder) utilization(l load, e *engine) float64 {
 	if e.Condition != Usable {
 		return math.Inf(1)
@@ -207,5 +210,5 @@
 	return l.total[e.ID] / float64(max(1, e.Slots))
 }
 
-// carriesDemand reports whether requests go to these weights, now or once they are loaded.
+// carriesDemand reports whether requests are sent to u, now or once it is loaded.
 func (b *builder) carriesDemand(u *unit) bool { return u.wanted && u.Demand > 0 }
--- a/pkg/placement/example_test.go
+++ b/pkg/placement/example_test.go
@@ -20,7 +20,7 @@
 	plan := placement.Next(in)
 	fmt.Println(plan.Number, plan.Units[0].Places, plan.Serving)
 
-	// A second model has no room beside two replicas of the first: one gives way once the
+	// A second model has no room beside two replicas of the first. One of them is removed once the
 	// other is confirmed.
 	in.Last = plan
 	in.Wanted = append(in.Wanted, placement.Unit{Model: "acme/helper", Item: placement.Item{Name: "acme/helper@1", Bytes: 30 << 30}, Pool: "llm"})
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -9,46 +9,48 @@
 // Place is an engine that shall hold a replica.
 type Place struct {
 	Engine string `json:"engine"`
-	// Since is the number of the plan that added the replica: a controller that still follows
-	// an older plan may be about to unload it.
+	// Since is the number of the plan that added the replica. A controller that still follows an older plan
+	// may be about to unload it.
 	Since int64 `json:"since"`
 }
 
-// UnitPlaces is one unit with the places of its replicas.
+// UnitPlaces is a unit with the places of its replicas.
 type UnitPlaces struct {
 	Unit
-	// Places are in the order of the engines' ids.
+	// Places are sorted by engine id.
 	Places []Place `json:"places"`
 	// Retired is when the unit was first neither wanted nor serving; zero while it is either.
 	Retired time.Time `json:"retired,omitzero"`
 }
 
-// Plan is what all boxes route by and all hall controllers carry out.
+// Plan tells which engines shall hold which units. All boxes route by it, and all hall controllers carry it
+// out.
 type Plan struct {
-	// Number grows by one with each plan.
+	// Number increases by one with each plan.
 	Number int64 `json:"number"`
-	// Term of the planner that made it.
+	// Term is that of the planner that made the plan.
 	Term int64 `json:"term"`
-	// Planner is the peer address of the box that made it.
+	// Planner is the peer address of the box that made the plan.
 	Planner string       `json:"planner,omitempty"`
 	Units   []UnitPlaces `json:"units"`
-	// Serving is the item that answers for each model.
+	// Serving holds the name of the item that serves each model.
 	Serving map[string]string `json:"serving"`
 }
 
-// On returns what the plan wants on one engine: each model followed by its adapters.
+// On returns the items that the plan has on an engine: each model followed by its adapters.
 func (p Plan) On(engine string) []Item {
 	var items []Item
-	for _, copies := range p.Units {
-		if copies.on(engine) {
-			items = append(items, copies.Item)
-			items = append(items, copies.Adapters...)
+	for _, placed := range p.Units {
+		if placed.on(engine) {
+			items = append(items, placed.Item)
+			items = append(items, placed.Adapters...)
 		}
 	}
 	return items
 }
 
-// Equal reports whether two plans ask for the same, whoever made them.
+// Equal reports whether two plans have the same units, places and serving items. It ignores their number,
+// term and planner.
 func (p Plan) Equal(other Plan) bool {
 	if len(p.Units) != len(other.Units) || len(p.Serving) != len(other.Serving) {
 		return false
@@ -75,12 +77,12 @@
 	return slices.ContainsFunc(c.Places, func(p Place) bool { return p.Engine == engine })
 }
 
-// result is the builder's state as a plan, in a fixed order.
+// result returns the builder's state as a plan, in a fixed order.
 func (b *builder) result() Plan {
 	plan := Plan{Number: b.number, Term: b.in.Last.Term, Planner: b.in.Last.Planner, Serving: b.serving}
 	for _, u := range b.units {
-		places := make([]Place, 0, len(u.on))
-		for engine, since := range u.on {
+		places := make([]Place, 0, len(u.replicas))
+		for engine, since := range u.replicas {
 			places = append(places, Place{Engine: engine, Since: since})
 		}
 		sort.Slice(places, func(i, j int) bool { return places[i].Engine < places[j].Engine })
--- a/pkg/placement/reachable.go
+++ b/pkg/placement/reachable.go
@@ -1,16 +1,16 @@
 package placement
 
-// Make before break: a replica may go only while another one keeps its unit reachable. That one
-// must be confirmed by its engine, be in the plan that the engine's controller follows, and have
-// settled at all boxes. The controllers apply the same rule to each unload (mayUnload in
-// internal/box), with what they know then.
+// Make before break: a replica may be removed only while another one keeps its unit reachable. The other replica must
+// be confirmed by its engine, be part of the plan that the engine's controller follows, and have been confirmed for
+// long enough that all boxes know it. The controllers apply the same rule to each unload (mayUnload in internal/box),
+// with what they know at that time.
 
 // idle reports whether a unit is neither wanted nor serving.
 func (b *builder) idle(u *unit) bool {
 	return !u.wanted && b.serving[u.Model] != u.Item.Name
 }
 
-// hallsOf lists the halls in which u has replicas on usable engines.
+// hallsOf returns the halls in which u has replicas on usable engines.
 func (b *builder) hallsOf(u *unit) map[string]bool {
 	halls := map[string]bool{}
 	for _, id := range b.usableIDs(u) {
@@ -19,16 +19,16 @@
 	return halls
 }
 
-// droppable reports whether u stays reachable, with its adapters, when e's replica goes.
-// A retired unit needs no other replica, only its time.
+// droppable reports whether u stays reachable, with its adapters, if e's replica is removed. A retired unit
+// needs no other replica, but must have been retired for Settings.RetireAfter.
 func (b *builder) droppable(u *unit, e *engine) bool {
 	if b.idle(u) {
 		return b.in.Now.Sub(u.retired) >= b.in.Settings.RetireAfter
 	}
-	if u.on[e.ID] == b.number {
-		return false // This plan has just added it.
+	if u.replicas[e.ID] == b.number {
+		return false // This plan has added the replica.
 	}
-	for id := range u.on {
+	for id := range u.replicas {
 		if id != e.ID && b.confirmedOn(u, b.engines[id]) {
 			return true
 		}
@@ -36,14 +36,14 @@
 	return false
 }
 
-// confirmedOn reports whether a usable engine has confirmed a whole replica, its controller
-// follows a plan that has the replica, and the replica has settled.
+// confirmedOn reports whether a usable engine has confirmed a whole replica of u, its controller follows a
+// plan that has the replica, and the replica has settled.
 func (b *builder) confirmedOn(u *unit, e *engine) bool {
-	return e.Condition == Usable && e.Plan >= u.on[e.ID] && e.holds(u) && b.settled(u, e)
+	return e.Condition == Usable && e.Plan >= u.replicas[e.ID] && e.holds(u) && b.settled(u, e)
 }
 
-// settled reports whether all items of u have been on e for Settings.Settle: by then all boxes
-// have the record of it.
+// settled reports whether all items of u have been known to be on e for Settings.Settle. By then all boxes
+// have received the record of them.
 func (b *builder) settled(u *unit, e *engine) bool {
 	latest := e.Resident[u.Item.Name]
 	for _, adapter := range u.Adapters {
@@ -54,10 +54,10 @@
 	return b.in.Now.Sub(latest) >= b.in.Settings.Settle
 }
 
-// confirmedReplicas counts the replicas that keep u reachable.
+// confirmedReplicas returns the number of replicas that keep u reachable.
 func (b *builder) confirmedReplicas(u *unit) int {
 	n := 0
-	for id := range u.on {
+	for id := range u.replicas {
 		if b.confirmedOn(u, b.engines[id]) {
 			n++
 		}
@@ -65,10 +65,10 @@
 	return n
 }
 
-// usableReplicas counts u's planned replicas on usable engines, confirmed or not.
+// usableReplicas returns the number of u's planned replicas on usable engines, confirmed or not.
 func (b *builder) usableReplicas(u *unit) int {
 	n := 0
-	for id := range u.on {
+	for id := range u.replicas {
 		if b.engines[id].Condition == Usable {
 			n++
 		}
@@ -76,7 +76,7 @@
 	return n
 }
 
-// holds reports whether e has confirmed the whole of u.
+// holds reports whether e has confirmed u with all of its adapters.
 func (e *engine) holds(u *unit) bool {
 	if _, ok := e.Resident[u.Item.Name]; !ok {
 		return false
@@ -89,10 +89,10 @@
 	return true
 }
 
-// usableIDs lists the usable engines that shall hold u, by id.
+// usableIDs returns the ids of the usable engines that shall hold u, in order.
 func (b *builder) usableIDs(u *unit) []string {
 	var ids []string
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if u.plannedOn(e.ID) && e.Condition == Usable {
 			ids = append(ids, e.ID)
 		}
--- a/pkg/placement/room.go
+++ b/pkg/placement/room.go
@@ -2,7 +2,8 @@
 
 import "sort"
 
-// roomFor lists the replicas that e must drop for u to fit, least demand first; false if it can't.
+// roomFor returns the units whose replicas on e must be evicted for u to fit, least demand first. It returns
+// false if u cannot fit or may not be placed on e.
 func (b *builder) roomFor(u *unit, e *engine) (evictions []*unit, ok bool) {
 	if !b.accepts(e, u) {
 		return nil, false
@@ -11,7 +12,7 @@
 	if free >= u.Bytes() {
 		return nil, true
 	}
-	candidates := e.sorted()
+	candidates := e.sortedUnits()
 	sort.SliceStable(candidates, func(i, j int) bool {
 		return candidates[i].demandPerReplica() < candidates[j].demandPerReplica()
 	})
@@ -28,24 +29,25 @@
 	return nil, false
 }
 
-// roomiest is the engine with most free memory that can take u without evictions, nil if none.
-// An engine that holds u already comes first, then one in a hall without a replica.
-func (b *builder) roomiest(u *unit) *engine {
+// bestWithoutEviction returns the best engine that can take u without evictions, or nil. It prefers an
+// engine that holds u already, then one in a hall without a replica of u, then the one with the most free
+// memory.
+func (b *builder) bestWithoutEviction(u *unit) *engine {
 	halls := b.hallsOf(u)
 	var best *engine
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if !b.accepts(e, u) || e.free < u.Bytes() {
 			continue
 		}
-		if best == nil || b.roomier(u, e, best, halls) {
+		if best == nil || b.betterWithoutEviction(u, e, best, halls) {
 			best = e
 		}
 	}
 	return best
 }
 
-// roomier reports whether e is a better place for u than best, by the order of roomiest.
-func (b *builder) roomier(u *unit, e, best *engine, halls map[string]bool) bool {
+// betterWithoutEviction reports whether e is better for u than best, in the sense of bestWithoutEviction.
+func (b *builder) betterWithoutEviction(u *unit, e, best *engine, halls map[string]bool) bool {
 	if held, bestHeld := e.holds(u), best.holds(u); held != bestHeld {
 		return held
 	}
@@ -55,15 +57,15 @@
 	return e.free > best.free
 }
 
-// accepts reports whether a new replica of u may go to e, memory aside.
+// accepts reports whether a new replica of u may be placed on e, regardless of memory.
 func (b *builder) accepts(e *engine, u *unit) bool {
 	return e.Condition == Usable && e.Pool == u.Pool && !u.plannedOn(e.ID)
 }
 
-// mayLoad reports whether one more load may be under way in the fleet.
-func (b *builder) mayLoad() bool { return b.pending < b.in.Settings.MaxLoads }
+// mayLoad reports whether the fleet may have one more load under way.
+func (b *builder) mayLoad() bool { return b.pendingLoads < b.in.Settings.MaxLoads }
 
-// carriedDemand is the demand that one replica of each unit carries.
+// carriedDemand returns the sum of the demand on one replica of each unit.
 func (b *builder) carriedDemand(units []*unit) float64 {
 	demand := 0.0
 	for _, u := range units {
@@ -72,17 +74,18 @@
 	return demand
 }
 
-// placeFirst adds the first replica of u on the engine where least has to give way. It reports
-// false if no engine can take it, and true if its turn has not come yet.
-func (b *builder) placeFirst(u *unit) bool {
+// placeFirstReplica adds the first replica of u on the engine that betterForFirstReplica prefers. It returns
+// false if no engine can take u. It returns true without adding a replica if no more loads may be under way
+// now.
+func (b *builder) placeFirstReplica(u *unit) bool {
 	if !b.mayLoad() {
-		return true // The turn comes when the loads under way are done.
+		return true // A later plan adds it, when loads under way have ended.
 	}
 	var best *engine
 	var bestEvictions []*unit
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		evictions, ok := b.roomFor(u, e)
-		if ok && (best == nil || b.betterFirst(u, e, evictions, best, bestEvictions)) {
+		if ok && (best == nil || b.betterForFirstReplica(u, e, evictions, best, bestEvictions)) {
 			best, bestEvictions = e, evictions
 		}
 	}
@@ -90,15 +93,16 @@
 		return false
 	}
 	for _, evicted := range bestEvictions {
-		b.remove(evicted, best)
+		b.removeReplica(evicted, best)
 	}
-	b.add(u, best)
+	b.addReplica(u, best)
 	return true
 }
 
-// betterFirst reports whether e is a better place for a first replica than best: it holds u
-// already, loses less demand, drops fewer replicas, or has more free memory, in this order.
-func (b *builder) betterFirst(u *unit, e *engine, evictions []*unit, best *engine, bestEvictions []*unit) bool {
+// betterForFirstReplica reports whether e is better for a first replica than best. The criteria are, in this
+// order: it holds u already, its evictions lose less demand, it has fewer evictions, it has more free
+// memory.
+func (b *builder) betterForFirstReplica(u *unit, e *engine, evictions []*unit, best *engine, bestEvictions []*unit) bool {
 	if held, bestHeld := e.holds(u), best.holds(u); held != bestHeld {
 		return held
 	}
@@ -111,10 +115,11 @@
 	return e.free > best.free
 }
 
-// tightest is the engine with least free memory that takes u, so that large gaps stay.
-func (b *builder) tightest(u *unit) *engine {
+// bestFit returns the engine with the least free memory on which u fits, or nil. Large free areas are left
+// for large units.
+func (b *builder) bestFit(u *unit) *engine {
 	var best *engine
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if b.accepts(e, u) && e.free >= u.Bytes() && (best == nil || e.free < best.free) {
 			best = e
 		}
--- a/pkg/placement/steps.go
+++ b/pkg/placement/steps.go
@@ -7,23 +7,24 @@
 
 // carryOver takes over the last plan's replicas on engines that still exist.
 func (b *builder) carryOver() {
-	for _, copies := range b.in.Last.Units {
-		u := b.units[copies.Item.Name]
+	for _, placed := range b.in.Last.Units {
+		u := b.units[placed.Item.Name]
 		if u == nil {
-			u = &unit{Unit: copies.Unit, retired: copies.Retired, on: map[string]int64{}}
-			b.units[copies.Item.Name] = u
+			u = &unit{Unit: placed.Unit, retired: placed.Retired, replicas: map[string]int64{}}
+			b.units[placed.Item.Name] = u
 		}
-		for _, place := range copies.Places {
+		for _, place := range placed.Places {
 			if e := b.engines[place.Engine]; e != nil {
-				b.addSince(u, e, place.Since)
+				b.addReplicaSince(u, e, place.Since)
 			}
 		}
 	}
 }
 
-// switchServing lets new weights serve once they have as many confirmed replicas as the old ones.
+// switchServing makes new weights serve once they have as many confirmed replicas as the old ones, and at
+// least one.
 func (b *builder) switchServing() {
-	for _, u := range b.sorted(func(u *unit) bool { return u.wanted }) {
+	for _, u := range b.sortedUnits(func(u *unit) bool { return u.wanted }) {
 		old := b.units[b.in.Last.Serving[u.Model]]
 		if old == nil || old == u || b.confirmedReplicas(u) >= max(1, b.confirmedReplicas(old)) {
 			b.serving[u.Model] = u.Item.Name
@@ -33,7 +34,7 @@
 	}
 }
 
-// dropRetired forgets units that have been neither wanted nor serving for Settings.RetireAfter.
+// dropRetired removes units that have been neither wanted nor serving for Settings.RetireAfter.
 func (b *builder) dropRetired() {
 	for name, u := range b.units {
 		if !b.idle(u) {
@@ -46,121 +47,122 @@
 		if b.in.Now.Sub(u.retired) < b.in.Settings.RetireAfter {
 			continue
 		}
-		for id := range u.on {
-			b.remove(u, b.engines[id])
+		for id := range u.replicas {
+			b.removeReplica(u, b.engines[id])
 		}
 		delete(b.units, name)
 	}
 }
 
-// dropLeaving drops from leaving engines what is confirmed elsewhere.
+// dropLeaving removes replicas from leaving engines if their units are confirmed elsewhere.
 func (b *builder) dropLeaving() {
-	for _, e := range b.order {
+	for _, e := range b.sortedEngines {
 		if e.Condition != Leaving {
 			continue
 		}
-		for _, u := range e.sorted() {
+		for _, u := range e.sortedUnits() {
 			if b.droppable(u, e) {
-				b.remove(u, e)
+				b.removeReplica(u, e)
 			}
 		}
 	}
 }
 
-// coverAll gives each unit without a replica on a usable engine one, largest unit first.
-func (b *builder) coverAll() {
-	missing := b.sorted(func(u *unit) bool { return b.usableReplicas(u) == 0 })
+// placeMissing adds a replica of each unit that has none on a usable engine, largest unit first.
+func (b *builder) placeMissing() {
+	missing := b.sortedUnits(func(u *unit) bool { return b.usableReplicas(u) == 0 })
 	sort.SliceStable(missing, func(i, j int) bool { return missing[i].Bytes() > missing[j].Bytes() })
 	for _, u := range missing {
-		if !b.placeFirst(u) {
-			b.clearWay(u)
+		if !b.placeFirstReplica(u) {
+			b.replicateBlocker(u)
 		}
 	}
 }
 
-// replaceOld puts new weights in the place of old replicas, one by one, until there are as many
-// of each: then switchServing lets the new ones serve. Waiting for equal numbers side by side got
-// stuck when memory was tight.
+// replaceOld replaces old replicas by new weights, one by one on the same engines, until both have the same
+// number; then switchServing makes the new weights serve. Adding all new replicas beside the old ones first
+// got stuck when memory was tight.
 func (b *builder) replaceOld() {
-	for _, u := range b.sorted(func(u *unit) bool { return u.wanted && b.serving[u.Model] != u.Item.Name }) {
+	for _, u := range b.sortedUnits(func(u *unit) bool { return u.wanted && b.serving[u.Model] != u.Item.Name }) {
 		old := b.units[b.serving[u.Model]]
-		if old == nil || len(u.on) >= len(old.on) || b.confirmedReplicas(u) < len(u.on) || !b.mayLoad() {
+		if old == nil || len(u.replicas) >= len(old.replicas) || b.confirmedReplicas(u) < len(u.replicas) || !b.mayLoad() {
 			continue
 		}
-		for _, e := range b.order {
+		for _, e := range b.sortedEngines {
 			if old.plannedOn(e.ID) && b.accepts(e, u) && b.droppable(old, e) && e.free+old.Bytes() >= u.Bytes() {
-				b.remove(old, e)
-				b.add(u, e)
+				b.removeReplica(old, e)
+				b.addReplica(u, e)
 				break
 			}
 		}
 	}
 }
 
-// spread gives units a second replica, and so on up to Settings.Copies, where memory is free.
+// spread adds replicas up to Settings.Replicas to each wanted unit, where memory is free.
 func (b *builder) spread() {
 	for replicas := 1; replicas < b.in.Settings.Replicas; replicas++ {
-		thin := b.sorted(func(u *unit) bool { return u.wanted && b.usableReplicas(u) == replicas })
-		sort.SliceStable(thin, func(i, j int) bool { return thin[i].Demand > thin[j].Demand })
-		for _, u := range thin {
-			e := b.roomiest(u)
+		candidates := b.sortedUnits(func(u *unit) bool { return u.wanted && b.usableReplicas(u) == replicas })
+		sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].Demand > candidates[j].Demand })
+		for _, u := range candidates {
+			e := b.bestWithoutEviction(u)
 			if e != nil && b.mayLoad() {
-				b.add(u, e)
+				b.addReplica(u, e)
 			}
 		}
 	}
 	b.spreadHalls()
 }
 
-// spreadHalls gives units whose replicas all stand in one hall another one elsewhere, where
-// memory is free: the first ones may have been placed while other halls did not answer.
+// spreadHalls adds a replica in another hall to units whose replicas are all in one hall, where memory is
+// free. The first replicas may have been placed while other halls did not answer.
 func (b *builder) spreadHalls() {
 	if b.in.Settings.Replicas < 2 {
 		return
 	}
-	for _, u := range b.sorted(func(u *unit) bool { return u.wanted && len(u.on) > 0 }) {
+	for _, u := range b.sortedUnits(func(u *unit) bool { return u.wanted && len(u.replicas) > 0 }) {
 		halls := b.hallsOf(u)
-		if e := b.roomiest(u); len(halls) == 1 && e != nil && !halls[e.Hall] && b.mayLoad() {
-			b.add(u, e)
+		if e := b.bestWithoutEviction(u); len(halls) == 1 && e != nil && !halls[e.Hall] && b.mayLoad() {
+			b.addReplica(u, e)
 		}
 	}
 }
 
-// relieveOverfull starts to move replicas off engines whose plan exceeds their memory.
+// relieveOverfull removes replicas from engines whose plan exceeds their memory. If a replica may not be
+// removed yet, it adds one on another engine, so that a later plan can remove the first.
 func (b *builder) relieveOverfull() {
-	for _, e := range b.order {
-		for _, u := range e.sorted() {
+	for _, e := range b.sortedEngines {
+		for _, u := range e.sortedUnits() {
 			if e.free >= 0 {
 				break
 			}
 			if b.droppable(u, e) {
-				b.remove(u, e)
-			} else if target := b.roomiest(u); target != nil && b.mayLoad() {
-				b.add(u, target)
+				b.removeReplica(u, e)
+			} else if target := b.bestWithoutEviction(u); target != nil && b.mayLoad() {
+				b.addReplica(u, target)
 			}
 		}
 	}
 }
 
-// clearWay adds a replica of one unit that blocks u on another engine. Once that replica is
-// confirmed, the blocking one is droppable and gives way to u in a later plan.
-func (b *builder) clearWay(u *unit) {
-	for _, e := range b.order {
+// replicateBlocker adds, on another engine, a replica of one unit that blocks u. Once that replica is
+// confirmed, the blocking one is droppable and makes room for u in a later plan.
+func (b *builder) replicateBlocker(u *unit) {
+	for _, e := range b.sortedEngines {
 		if !b.accepts(e, u) {
 			continue
 		}
-		spare := e.free
-		for _, other := range e.sorted() {
+		freeable := e.free
+		for _, other := range e.sortedUnits() {
 			if b.droppable(other, e) {
-				spare += other.Bytes()
+				freeable += other.Bytes()
 			}
 		}
-		for _, blocker := range e.sorted() {
-			if b.droppable(blocker, e) || spare+blocker.Bytes() < u.Bytes() {
+		for _, blocker := range e.sortedUnits() {
+			if b.droppable(blocker, e) || freeable+blocker.Bytes() < u.Bytes() {
 				continue
 			}
-			if target := b.roomiest(blocker); target != nil && target != e {
-				b.add(blocker, target)
+			if target := b.bestWithoutEviction(blocker); target != nil && target != e {
+				b.addReplica(blocker, target)
 				return
 			}
 		}
