--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -2,62 +2,64 @@
 
 import "time"
 
-// This file has what a box knows of engines that are cold: for some time after a start, or after an operator let them rest, they bear few
-// requests. It is known of one life of an engine and ends with it.
+// This file has what a box knows about cold engines: for some time after a start, or after an operator
+// left them idle, they can take only few requests. It belongs to one incarnation of an engine and ends
+// with it.
 //
-//	what tells it                              cold until
-//	the engine's entry, or an answer           the time that it gives is over
-//	it may be cold, since it is back from      the service's start time is over; a message that says more goes first
-//	an evacuation, a lapsed entry, or from
-//	taking no connection
+//	source                                     cold until
+//	the engine's entry, or an answer           the time that it states is over
+//	it may be cold, since it came back from    the service's start time is over; a message that states
+//	an evacuation, a lapsed entry, or from     a longer time takes precedence
+//	failed connections
 
-// maxCold bounds how long an engine is taken as cold by what it says of itself.
+// maxCold bounds how long an engine counts as cold by its own statement.
 const maxCold = 10 * time.Minute
 
-// coldRecord is what is known of one engine.
+// coldRecord is what is known about one engine.
 type coldRecord struct {
-	// coldUntil is by what the engine says; backAt is since when it is back.
-	coldUntil, backAt time.Time
+	// coldUntil is the end that the engine stated; returnedAt is when it came back.
+	coldUntil, returnedAt time.Time
 }
 
-// isCold reports whether an engine is cold, or may be, where the engines of its service are cold for a time after a start. The caller holds
-// the lock.
-func (d *Directory) isCold(id string, start time.Duration) bool {
-	if d.refusals[id] > 0 {
+// isCold reports whether an engine is cold, or may be. coldStart is how long engines of its service are
+// cold after a start. The caller holds the lock.
+func (d *Directory) isCold(id string, coldStart time.Duration) bool {
+	if d.connectFailures[id] > 0 {
 		return true
 	}
-	known, ok := d.cold[id]
+	record, ok := d.cold[id]
 	if !ok {
 		return false
 	}
 	now := time.Now()
-	return now.Before(known.coldUntil) || !known.backAt.IsZero() && now.Before(known.backAt.Add(start))
+	return now.Before(record.coldUntil) || !record.returnedAt.IsZero() && now.Before(record.returnedAt.Add(coldStart))
 }
 
-// noteCold takes for how long an engine says that it is cold; 0 ends that. The caller holds the lock.
-func (d *Directory) noteCold(id string, span time.Duration) {
-	known, ok := d.cold[id]
+// setCold records for how long an engine states that it is cold; 0 ends that. The caller holds the
+// lock.
+func (d *Directory) setCold(id string, span time.Duration) {
+	record, ok := d.cold[id]
 	if span <= 0 && !ok {
 		return
 	}
-	known.coldUntil = time.Time{}
+	record.coldUntil = time.Time{}
 	if span > 0 {
-		known.coldUntil = time.Now().Add(min(span, maxCold))
+		record.coldUntil = time.Now().Add(min(span, maxCold))
 	}
-	d.cold[id] = known
+	d.cold[id] = record
 }
 
-// noteBack notes that an engine is back, and perhaps cold. The caller holds the lock.
-func (d *Directory) noteBack(id string) {
-	known := d.cold[id]
-	known.backAt = time.Now()
-	d.cold[id] = known
+// recordReturn records that an engine came back, and may be cold. The caller holds the lock.
+func (d *Directory) recordReturn(id string) {
+	record := d.cold[id]
+	record.returnedAt = time.Now()
+	d.cold[id] = record
 }
 
-// expireCold forgets what is over. The caller holds the lock.
+// expireCold drops the records whose time is over. The caller holds the lock.
 func (d *Directory) expireCold(now time.Time) {
-	for id, known := range d.cold {
-		if now.After(known.coldUntil) && now.Sub(known.backAt) > maxCold {
+	for id, record := range d.cold {
+		if now.After(record.coldUntil) && now.Sub(record.returnedAt) > maxCold {
 			delete(d.cold, id)
 		}
 	}
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -10,18 +10,18 @@
 )
 
 var _ = Describe("an engine that is cold, or may be", func() {
-	const start = 3 * time.Second
+	const coldStart = 3 * time.Second
 	entry := func(revision int64, cold time.Duration) []Upstream {
 		return []Upstream{{ID: "a", Service: "s", Hall: "h", Address: "a:80", Revision: revision, Cold: cold}}
 	}
-	cold := func(d *Directory) bool { return d.RateBound("a", start).Cold }
+	cold := func(d *Directory) bool { return d.RateBound("a", coldStart).Cold }
 	listed := func(span time.Duration) *Directory {
 		d := New()
 		d.SetList(1, entry(1, span), time.Now())
 		return d
 	}
 
-	It("is so for as long as its entry says, and until a later one ends it", func() {
+	It("is cold for as long as its entry states, and until a later entry ends that", func() {
 		spectest.Bubble(func() {
 			d := listed(2 * time.Second)
 			Expect(cold(d)).To(BeTrue())
@@ -39,25 +39,25 @@
 		})
 	})
 
-	It("is so by an answer, which is news once", func() {
+	It("is cold by an answer, which is reported once", func() {
 		spectest.Bubble(func() {
 			d := listed(0)
-			told := 0
-			d.OnNotice = func(Noted) { told++ }
+			reported := 0
+			d.OnNotice = func(Noted) { reported++ }
 			d.Note("a", Notice{Cold: time.Second})
 			d.Note("a", Notice{Cold: time.Second})
 			Expect(cold(d)).To(BeTrue())
-			Expect(told).To(Equal(1))
+			Expect(reported).To(Equal(1))
 		})
 	})
 
-	DescribeTable("may be for the time of a start when it is back", func(away func(*Directory)) {
+	DescribeTable("may be cold for the time of a cold start when it comes back", func(leaveAndReturn func(*Directory)) {
 		spectest.Bubble(func() {
 			d := listed(0)
 			Expect(cold(d)).To(BeFalse())
-			away(d)
+			leaveAndReturn(d)
 			Expect(cold(d)).To(BeTrue())
-			time.Sleep(start + time.Millisecond)
+			time.Sleep(coldStart + time.Millisecond)
 			Expect(cold(d)).To(BeFalse())
 		})
 	},
@@ -65,7 +65,7 @@
 			d.SetEvacuated(2, map[string]bool{"h": true})
 			d.SetEvacuated(3, nil)
 		}),
-		Entry("from taking no connection", func(d *Directory) {
+		Entry("from failed connections", func(d *Directory) {
 			d.MarkUnreachable("a")
 			Expect(cold(d)).To(BeTrue())
 			d.MarkReachable("a")
@@ -76,14 +76,14 @@
 		}),
 	)
 
-	It("is held back by this box until its keeper may be asked again, and forgotten when it is gone", func() {
+	It("gets nothing from this box until its keeper may be asked again, and is forgotten when it is gone", func() {
 		spectest.Bubble(func() {
 			d := listed(time.Minute)
 			until := time.Now().Add(time.Second)
 			d.HoldBack("a", until)
-			Expect(d.RateBound("a", start).HeldUntil).To(Equal(until))
+			Expect(d.RateBound("a", coldStart).HeldUntil).To(Equal(until))
 			d.SetList(2, nil, time.Now())
-			time.Sleep(lapseTime + time.Second)
+			time.Sleep(lapseGrace + time.Second)
 			d.DropLapsed()
 			Expect(d.cold).To(BeEmpty())
 		})
--- a/pkg/fleet/eligible.go
+++ b/pkg/fleet/eligible.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// This file has the rules on whether an upstream may get a request. internal/gateway asks them in
-// the order below, and dispatch chooses among the upstreams that pass all of them. Their inputs are
-// the upstream's entry in the list, the engine's latest residency and the marks that answers left.
-// Each rule lets the request through where its input is missing, but for a model or adapter that
-// neither the list nor a residency names.
+// This file has the rules that decide whether an upstream may get a request. internal/gateway checks
+// them in the order below, and dispatch chooses among the upstreams that pass all of them. Their inputs
+// are the upstream's entry in the list, the engine's latest residency and the marks that answers set. A
+// rule passes where its input is missing, except for a model or adapter that neither the list nor a
+// residency names.
 
-// Usable reports whether the upstream may get anything new, but for an evacuation of its hall: it does not leave, and its entry is
-// listed or lapsed only lately (see lapseTime).
+// Usable reports whether anything new may be sent to the upstream, apart from an evacuation of its
+// hall: it is not leaving, and its entry is listed or lapsed only recently (see lapseGrace).
 func (s *State) Usable(now time.Time) bool {
 	return !s.Leaving && (s.DropAt.IsZero() || now.Before(s.DropAt))
 }
 
-// TakesWork reports whether the upstream's replicas count for requests to come: it neither leaves nor is its hall evacuated.
+// TakesWork reports whether the upstream's replicas count as capacity for future requests: it is not
+// leaving, and its hall is not evacuated.
 func (s *State) TakesWork() bool { return !s.Leaving && !s.Evacuated }
 
-// Holds reports whether the engine may be sent requests for a model. What the order holder published
-// goes before the list, which is older while an order is carried out.
+// Holds reports whether requests for a model may be sent to the engine. A published residency overrides
+// the list, which lags behind while an order is carried out.
 func (s *State) Holds(model string) bool {
 	listed := slices.ContainsFunc(s.Models, func(h Holding) bool { return h.Model == model })
 	switch published := s.residency; {
@@ -36,11 +37,11 @@
 	}
 }
 
-// held lists the models that the engine may be sent requests for.
-func (s *State) held() []modelOf {
-	var list []modelOf
+// servableModels returns the models for which requests may be sent to the engine.
+func (s *State) servableModels() []modelKey {
+	var list []modelKey
 	add := func(model string) {
-		if key := (modelOf{s.Service, model}); s.Holds(model) && !slices.Contains(list, key) {
+		if key := (modelKey{s.Service, model}); s.Holds(model) && !slices.Contains(list, key) {
 			list = append(list, key)
 		}
 	}
@@ -55,8 +56,8 @@
 	return list
 }
 
-// HoldsAdapter reports whether the engine has an adapter of a model that it holds; no adapter ("") is
-// always there.
+// HoldsAdapter reports whether the engine has an adapter of a model that it holds. It is true for no
+// adapter ("").
 func (s *State) HoldsAdapter(model, adapter string) bool {
 	return adapter == "" || slices.Contains(s.adapters(model), adapter)
 }
--- a/pkg/fleet/entry.go
+++ b/pkg/fleet/entry.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// Why an entry of the list names no upstream to use. Others than upstreams write entries, too.
+// Reasons why an entry of the list describes no usable upstream. Not only upstreams write entries.
 const (
 	ErrUnreadableEntry = errors.ConstError("unreadable")
 	ErrUnnamedEntry    = errors.ConstError("no name")
@@ -16,10 +16,11 @@
 	ErrUnknownState    = errors.ConstError("unknown state")
 )
 
-// entryErrors are all of them.
+// entryErrors lists all of the errors above.
 var entryErrors = []error{ErrUnreadableEntry, ErrUnnamedEntry, ErrNoService, ErrNoHall, ErrBadAddress, ErrUnknownState}
 
-// EntryReason is why an entry names no upstream to use, by its error.
+// EntryReason returns the reason why an entry is unusable: the text of the entry error in err, or that
+// of ErrUnreadableEntry if there is none.
 func EntryReason(err error) string {
 	for _, kind := range entryErrors {
 		if errors.Is(err, kind) {
@@ -29,8 +30,8 @@
 	return ErrUnreadableEntry.Error()
 }
 
-// CheckEntry returns why an entry names no upstream to use; nil if it names one. A request sent by one that does not reach an
-// upstream, or one of another service.
+// CheckEntry returns the reason why an entry describes no usable upstream, or nil if it describes one.
+// A request sent to the address of an unusable entry would reach no upstream, or one of another service.
 func CheckEntry(entry *Upstream) error {
 	switch {
 	case NameOf(entry.ID) == "":
--- a/pkg/fleet/evacuation.go
+++ b/pkg/fleet/evacuation.go
@@ -7,20 +7,21 @@
 	"github.com/juju/errors"
 )
 
-// ErrEvacuated is the error of a sending to an upstream whose hall is evacuated.
+// ErrEvacuated is returned for a request to an upstream whose hall is evacuated.
 const ErrEvacuated = errors.ConstError("upstream's hall is evacuated: choose one of another hall")
 
-// Evacuations is what a copy of the store changed about evacuated halls.
+// Evacuations lists the evacuations that began or ended with a copy of the store.
 type Evacuations struct {
-	// Begun and Ended are halls, in the order of their names.
+	// Begun and Ended are halls, sorted by name.
 	Begun, Ended []string
 }
 
-// Any reports whether anything changed.
+// Any reports whether an evacuation began or ended.
 func (e *Evacuations) Any() bool { return len(e.Begun) > 0 || len(e.Ended) > 0 }
 
-// SetEvacuated takes which halls are evacuated at a revision of the store, unless that is older than what was taken last: an older
-// copy ends no evacuation. It is to be called ahead of SetList with the list of the same copy.
+// SetEvacuated sets which halls are evacuated at a revision of the store. It ignores a revision older
+// than the latest one, so that an older copy ends no evacuation. Call it before SetList with the list
+// of the same copy.
 func (d *Directory) SetEvacuated(revision int64, halls map[string]bool) Evacuations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,12 +29,12 @@
 		return Evacuations{}
 	}
 	d.evacuatedAt = revision
-	change := Evacuations{Begun: without(halls, d.evacuated), Ended: without(d.evacuated, halls)}
+	change := Evacuations{Begun: sortedDifference(halls, d.evacuated), Ended: sortedDifference(d.evacuated, halls)}
 	if !change.Any() {
 		return change
 	}
 	d.evacuated = maps.Clone(halls)
-	var touched []string
+	var affected []string
 	for id, state := range d.states {
 		if state.Evacuated == halls[state.Hall] {
 			continue
@@ -41,16 +42,17 @@
 		next := *state
 		next.Evacuated = halls[state.Hall]
 		if state.Evacuated {
-			d.noteBack(id) // Its entry may not tell yet that it is cold.
+			d.recordReturn(id) // Its entry may not state yet that it is cold.
 		}
 		d.states[id] = &next
-		touched = append(touched, id)
+		affected = append(affected, id)
 	}
-	d.reindex(touched...)
+	d.reindex(affected...)
 	return change
 }
 
-// CountEvacuated returns how many upstreams are in evacuated halls, and how many outside of them do not leave.
+// CountEvacuated returns how many upstreams are in evacuated halls, and how many of the others are not
+// leaving.
 func (d *Directory) CountEvacuated() (evacuated, left int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -65,8 +67,8 @@
 	return evacuated, left
 }
 
-// without returns the halls of one set that another one does not have, sorted.
-func without(halls, others map[string]bool) []string {
+// sortedDifference returns the halls of the first set that the second does not have, sorted.
+func sortedDifference(halls, others map[string]bool) []string {
 	var list []string
 	for hall := range halls {
 		if !others[hall] {
--- a/pkg/fleet/evacuation_test.go
+++ b/pkg/fleet/evacuation_test.go
@@ -18,7 +18,7 @@
 		d.SetList(1, []Upstream{entry("a", "h1", 1), entry("b", "h2", 1)}, time.Now())
 		return d
 	}
-	sends := func(d *Directory, id string) error {
+	begin := func(d *Directory, id string) error {
 		_, err := d.Begin(d.Get(id).Upstream)
 		return err
 	}
@@ -29,39 +29,39 @@
 		Expect(d.SetEvacuated(2, map[string]bool{"h1": true})).To(Equal(Evacuations{Begun: []string{"h1"}}))
 		_, err := d.Begin(chosen)
 		Expect(err).To(MatchError(ErrEvacuated))
-		Expect(sends(d, "b")).To(Succeed())
+		Expect(begin(d, "b")).To(Succeed())
 		Expect(d.OfService("s")[0].TakesWork()).To(BeFalse())
 		Expect(d.SetEvacuated(3, nil)).To(Equal(Evacuations{Ended: []string{"h1"}}))
-		Expect(sends(d, "a")).To(Succeed())
+		Expect(begin(d, "a")).To(Succeed())
 		Expect(d.OfService("s")[0].TakesWork()).To(BeTrue())
 	})
 
-	It("is neither undone nor begun again by an older copy", func() {
+	It("is neither ended nor begun by an older copy of the store", func() {
 		d := listed()
 		d.SetEvacuated(5, map[string]bool{"h1": true})
 		d.SetEvacuated(4, nil)
-		Expect(sends(d, "a")).To(MatchError(ErrEvacuated))
+		Expect(begin(d, "a")).To(MatchError(ErrEvacuated))
 		d.SetEvacuated(6, nil)
 		d.SetEvacuated(5, map[string]bool{"h1": true})
-		Expect(sends(d, "a")).To(Succeed())
+		Expect(begin(d, "a")).To(Succeed())
 	})
 
-	It("binds upstreams that join, are written again, get a residency or lapse meanwhile", func() {
+	It("applies to upstreams that join, are written again, get a residency or lapse during it", func() {
 		spectest.Bubble(func() {
 			d := New()
 			d.SetEvacuated(1, map[string]bool{"h1": true})
 			d.SetList(1, []Upstream{entry("a", "h1", 1), entry("b", "h2", 1)}, time.Now())
-			Expect(sends(d, "a")).To(MatchError(ErrEvacuated))
+			Expect(begin(d, "a")).To(MatchError(ErrEvacuated))
 			d.SetList(2, []Upstream{entry("a", "h1", 2)}, time.Now())
 			d.MergeResidency(1, map[string]Residency{"a": {Sequence: 1, Loaded: []string{"m"}}})
 			Expect(d.Get("a").Evacuated).To(BeTrue())
 			d.SetList(3, nil, time.Now())
 			Expect(d.Get("a").Evacuated).To(BeTrue())
-			Expect(sends(d, "a")).To(MatchError(ErrEvacuated))
+			Expect(begin(d, "a")).To(MatchError(ErrEvacuated))
 		})
 	})
 
-	It("is counted, also one without upstreams and all at once", func() {
+	It("is counted, also without upstreams, and when all halls are evacuated", func() {
 		d := listed()
 		Expect(d.SetEvacuated(2, map[string]bool{"nowhere": true}).Begun).To(Equal([]string{"nowhere"}))
 		evacuated, left := d.CountEvacuated()
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 		d.SetList(10, []fleet.Upstream{engine("e1", 8, "m1", "m2"), engine("e2", 9)}, time.Time{})
 	})
 
-	It("returns who joined, leaves and was removed, and ignores older lists", func() {
+	It("returns which upstreams joined, are leaving and were removed, and ignores older lists", func() {
 		leaving := engine("e1", 11, "m1", "m2")
 		leaving.Leaving, leaving.Notice = true, 2*time.Second
 		changes := d.SetList(12, []fleet.Upstream{leaving, engine("e3", 12)}, time.Time{})
@@ -41,7 +41,7 @@
 		Expect(d.OfService("s")).To(HaveLen(2))
 	})
 
-	It("joins what the order holder publishes, newest term and sequence first", func() {
+	It("merges what the order holder publishes; the newest term and sequence take precedence", func() {
 		d.MergeResidency(5, map[string]fleet.Residency{"e1": {
 			Sequence: 2, Withdrawn: []string{"m1"}, Loaded: []string{"m3"}, Dropped: []string{"m2"},
 			Adapters: map[string][]string{"m3": {"a1"}},
@@ -76,7 +76,7 @@
 		Expect(catchUp()).To(BeNil())
 		d.Publish(5, "e1", fleet.Residency{Loaded: []string{"m3"}})
 		sequence := d.Publish(5, "e2", fleet.Residency{Loaded: []string{"m3"}})
-		// A residency that comes ahead of its update must not hide the updates before it.
+		// A residency that arrives ahead of its update must not hide the updates before it.
 		peer.MergeResidency(5, map[string]fleet.Residency{"e2": {Loaded: []string{"m3"}, Sequence: sequence}})
 		Expect(peer.Get("e2").Holds("m3")).To(BeTrue())
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
@@ -86,7 +86,7 @@
 		Expect(d.Publish(6, "e1", fleet.Residency{Loaded: []string{"m4"}})).To(BeZero())
 		Expect(catchUp()).To(HaveLen(1))
 		Expect(peer.Get("e1").Holds("m3")).To(BeFalse())
-		// The new order holder has published nothing of this engine yet: the former one's residency stays.
+		// The new order holder has published nothing about this engine yet: the former one's residency stays.
 		Expect(peer.Get("e2").Holds("m3")).To(BeTrue())
 	})
 
@@ -101,7 +101,7 @@
 		Expect(d.Get("e1")).To(BeNil())
 	})
 
-	It("uses an upstream for a little longer whose entry lapsed, unless it was leaving or was replaced", func() {
+	It("uses an upstream for a short time after its entry lapsed, unless it was leaving or was replaced", func() {
 		spectest.Bubble(func() {
 			d := fleet.New()
 			at := func(id, address string, leaving bool) fleet.Upstream {
@@ -136,17 +136,17 @@
 			time.Sleep(300 * time.Millisecond)
 			Expect(d.DropLapsed()).To(HaveLen(1))
 			Expect(present()).To(Equal([]string{"again", "lives"}))
-			By("not where the list was out of date already")
+			By("but not where the list was out of date already")
 			d.SetList(11, []fleet.Upstream{again}, time.Now().Add(-2*time.Second))
 			Expect(present()).To(Equal([]string{"again"}))
 		})
 	})
 
-	It("sends an upstream nothing for longer each time that it takes no connection", func() {
+	It("sends nothing to an upstream for longer after each failed connection in a row", func() {
 		spectest.Bubble(func() {
 			span := func() time.Duration {
 				d.MarkUnreachable("e1")
-				d.MarkUnreachable("e1") // Another attempt that was under way does not count.
+				d.MarkUnreachable("e1") // A concurrent attempt does not count.
 				begun := time.Now()
 				for d.Unavailable("e1", "", "") {
 					time.Sleep(10 * time.Millisecond)
@@ -160,7 +160,7 @@
 		})
 	})
 
-	It("marks for a while what an engine lacks, and an upstream that takes no connection", func() {
+	It("marks for a while what an engine lacks, and an upstream that can't be reached", func() {
 		spectest.Bubble(func() {
 			d.MarkMissing("e1", "m1", "a1")
 			Expect(d.Unavailable("e1", "m1", "a1")).To(BeTrue())
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -5,45 +5,48 @@
 	"strings"
 )
 
-// bornSeparator stands between an upstream's name and when it was born, in its id.
-const bornSeparator = "@"
+// startSeparator separates an upstream's name from its start time, in its id.
+const startSeparator = "@"
 
-// IncarnationID is the id of one life of an upstream, from its name and when it was born, in milliseconds since 1970; 0 is not
-// known. All that is known of an upstream is known by this id, so that nothing of a former life counts for one that started again
+// IncarnationID returns the id of one incarnation of an upstream, from its name and the start time of
+// its process in milliseconds since 1970; 0 or less means that it is not known. Everything known about
+// an upstream is stored under this id. So nothing of an earlier process counts for one that restarted
 // under the same name: connections, loads, ejections, what it holds, how many orders it took.
-func IncarnationID(name string, born int64) string {
-	if born <= 0 {
+func IncarnationID(name string, startMillis int64) string {
+	if startMillis <= 0 {
 		return name
 	}
-	return name + bornSeparator + strconv.FormatInt(born, 10)
+	return name + startSeparator + strconv.FormatInt(startMillis, 10)
 }
 
-// NameOf is the name of the upstream that an id is of, the same in all its lives.
+// NameOf returns the name of the upstream that an id belongs to. All incarnations of an upstream share
+// it.
 func NameOf(id string) string {
 	name, _ := splitID(id)
 	return name
 }
 
-// splitID returns the name and the start of an id; 0 if it is not known.
-func splitID(id string) (name string, born int64) {
-	at := strings.LastIndex(id, bornSeparator)
+// splitID returns the name and the start time of an id; the start time is 0 if it is not known.
+func splitID(id string) (name string, startMillis int64) {
+	at := strings.LastIndex(id, startSeparator)
 	if at < 0 {
 		return id, 0
 	}
-	start, err := strconv.ParseUint(id[at+len(bornSeparator):], 10, 63)
+	parsed, err := strconv.ParseUint(id[at+len(startSeparator):], 10, 63)
 	if err != nil {
 		return id, 0
 	}
-	return id[:at], int64(start)
+	return id[:at], int64(parsed)
 }
 
-// replaces reports whether, of two upstreams at one address, this one is the later: by their starts where both are known, else by which
-// entry was written last. The last write of one that is gone may come after the first of its successor, when a cut ends.
+// replaces reports whether, of two upstreams at one address, this one is the later: by their start
+// times if both are known, else by which entry was written last. When a network partition ends, the
+// last write of a process that is gone may arrive after the first write of its successor.
 func (u *Upstream) replaces(other *Upstream) bool {
-	_, born := splitID(u.ID)
-	_, otherBorn := splitID(other.ID)
-	if born > 0 && otherBorn > 0 && born != otherBorn {
-		return born > otherBorn
+	_, start := splitID(u.ID)
+	_, otherStart := splitID(other.ID)
+	if start > 0 && otherStart > 0 && start != otherStart {
+		return start > otherStart
 	}
 	return u.Revision > other.Revision
 }
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -9,19 +9,19 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-var _ = Describe("an upstream that starts again under its name", func() {
-	DescribeTable("is named by its name and when it was born", func(name string, born int64, id string) {
-		Expect(fleet.IncarnationID(name, born)).To(Equal(id))
+var _ = Describe("an upstream that restarts under its name", func() {
+	DescribeTable("has an id of its name and its start time", func(name string, startMillis int64, id string) {
+		Expect(fleet.IncarnationID(name, startMillis)).To(Equal(id))
 		Expect(fleet.NameOf(id)).To(Equal(name))
 	},
 		Entry("", "e1", int64(1767225600000), "e1@1767225600000"),
-		Entry("not known", "e1", int64(0), "e1"),
+		Entry("start not known", "e1", int64(0), "e1"),
 		Entry("before 1970", "e1", int64(-5), "e1"),
-		Entry("a name with the sign in it", "e@x", int64(0), "e@x"),
-		Entry("a name with the sign in it, born", "e@x", int64(7), "e@x@7"),
+		Entry("a name with the separator in it", "e@x", int64(0), "e@x"),
+		Entry("a name with the separator in it, and a start", "e@x", int64(7), "e@x@7"),
 	)
 
-	It("is not displaced by a late write of one that was at its address before", func() {
+	It("is not replaced by a late write of one that had its address before", func() {
 		d := fleet.New()
 		at := func(id string, revision int64) fleet.Upstream {
 			upstream := engine(id, revision)
@@ -33,35 +33,35 @@
 		d.SetList(3, []fleet.Upstream{at("e1@10", 3), at("e2@20", 2)}, time.Now())
 		Expect(d.Get("e1@10")).To(BeNil())
 		Expect(d.Get("e2@20")).NotTo(BeNil())
-		By("but by the later write where a start is not known")
+		By("but the later write counts where a start is not known")
 		d.SetList(4, []fleet.Upstream{at("e1@10", 3), at("e3", 4)}, time.Now())
 		Expect(d.Get("e1@10")).To(BeNil())
 		Expect(d.Get("e3")).NotTo(BeNil())
 	})
 
-	It("has nothing of its former life, which is gone at once, wherever it listens", func() {
+	It("has nothing of its former incarnation, which is removed at once, whatever the new address", func() {
 		d := fleet.New()
-		life := func(born, revision int64, address string) fleet.Upstream {
-			upstream := engine(fleet.IncarnationID("e1", born), revision)
+		incarnation := func(startMillis, revision int64, address string) fleet.Upstream {
+			upstream := engine(fleet.IncarnationID("e1", startMillis), revision)
 			upstream.Address = address
 			return upstream
 		}
-		d.SetList(1, []fleet.Upstream{life(10, 1, "a:1")}, time.Now())
+		d.SetList(1, []fleet.Upstream{incarnation(10, 1, "a:1")}, time.Now())
 		d.Publish(3, "e1@10", fleet.Residency{Loaded: []string{"m1"}, Busy: true})
 		Expect(d.Get("e1@10").Holds("m1")).To(BeTrue())
 		d.MarkUnreachable("e1@10")
-		changes := d.SetList(2, []fleet.Upstream{life(20, 2, "a:2")}, time.Now())
+		changes := d.SetList(2, []fleet.Upstream{incarnation(20, 2, "a:2")}, time.Now())
 		Expect(changes).To(HaveLen(2))
 		Expect(d.Get("e1@10")).To(BeNil())
 		Expect(d.Get("e1@20").Holds("m1")).To(BeFalse())
 		Expect(d.Get("e1@20").Busy()).To(BeFalse())
 		Expect(d.Unavailable("e1@20", "", "")).To(BeFalse())
-		By("also when news of the former life comes late")
+		By("also when updates of the former incarnation come late")
 		d.MergeResidency(3, map[string]fleet.Residency{"e1@10": {Sequence: 9, Loaded: []string{"m2"}}})
 		Expect(d.Get("e1@20").Holds("m2")).To(BeFalse())
 		Expect(d.Get("e1@10")).To(BeNil())
-		By("and an older list brings it back nowhere")
-		Expect(d.SetList(1, []fleet.Upstream{life(10, 1, "a:1")}, time.Now())).To(BeEmpty())
+		By("and an older list does not bring it back")
+		Expect(d.SetList(1, []fleet.Upstream{incarnation(10, 1, "a:1")}, time.Now())).To(BeEmpty())
 		Expect(d.Get("e1@20")).NotTo(BeNil())
 	})
 })
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -6,27 +6,29 @@
 	"sync/atomic"
 )
 
-// serviceStates are the states of a service in the order of their ids. What is handed out is copied when it is asked for after a change, not
-// with each change: a service may have 10,000 upstreams of which a few change four times a second, and few readers of all.
+// serviceStates holds the states of a service, sorted by id. The slice for readers is copied at the
+// first read after a change, not at each change: a service may have 10,000 upstreams, of which a few
+// change four times a second, and few readers need all of them.
 type serviceStates struct {
 	states []*State
-	// handedOut is a copy of states since the latest change; nil if nobody asked.
-	handedOut atomic.Pointer[[]*State]
+	// snapshot is a copy of states since the latest change; nil if nobody has read it.
+	snapshot atomic.Pointer[[]*State]
 }
 
-// list returns the states as they are now. The caller holds the directory's lock, and does not change the list.
+// list returns the current states. The caller holds the directory's lock, and must not change the
+// slice.
 func (s *serviceStates) list() []*State {
-	if handedOut := s.handedOut.Load(); handedOut != nil {
-		return *handedOut
+	if snapshot := s.snapshot.Load(); snapshot != nil {
+		return *snapshot
 	}
 	list := slices.Clone(s.states)
-	s.handedOut.Store(&list)
+	s.snapshot.Store(&list)
 	return list
 }
 
-// put puts states in, which are in the order of their ids.
+// put adds or replaces states. Its argument is sorted by id.
 func (s *serviceStates) put(states []*State) {
-	s.handedOut.Store(nil)
+	s.snapshot.Store(nil)
 	var added []*State
 	for _, state := range states {
 		if at, found := find(s.states, state.ID); found {
@@ -38,8 +40,8 @@
 	s.states = insertAll(s.states, added)
 }
 
-// insertAll inserts states that are not in a list yet; both are in the order of their ids. Each element moves once, however many are
-// inserted.
+// insertAll inserts states that a list does not contain yet. Both are sorted by id. Each element moves
+// once, however many are inserted.
 func insertAll(list, added []*State) []*State {
 	end := len(list)
 	list = append(list, added...)
@@ -53,7 +55,7 @@
 }
 
 func (s *serviceStates) remove(id string) {
-	s.handedOut.Store(nil)
+	s.snapshot.Store(nil)
 	if at, found := find(s.states, id); found {
 		s.states = slices.Delete(s.states, at, at+1)
 	}
@@ -63,14 +65,15 @@
 	return slices.BinarySearchFunc(list, id, func(state *State, id string) int { return strings.Compare(state.ID, id) })
 }
 
-// holderIndex are the lists of the holders of models, in the order of their ids, of which those that change are copied once.
+// holderIndex changes the lists of the engines that hold each model, sorted by id. It copies a list
+// before the first change, since readers may still use the old one, and only once.
 type holderIndex struct {
-	lists  map[modelOf][]*State
-	copied map[modelOf]bool
+	lists  map[modelKey][]*State
+	copied map[modelKey]bool
 }
 
-// list returns a list that may be changed.
-func (x *holderIndex) list(model modelOf) []*State {
+// mutableList returns the list of a model, as a copy that may be changed.
+func (x *holderIndex) mutableList(model modelKey) []*State {
 	if !x.copied[model] {
 		x.copied[model] = true
 		x.lists[model] = slices.Clone(x.lists[model])
@@ -78,8 +81,8 @@
 	return x.lists[model]
 }
 
-func (x *holderIndex) put(model modelOf, state *State) {
-	list := x.list(model)
+func (x *holderIndex) put(model modelKey, state *State) {
+	list := x.mutableList(model)
 	at, found := find(list, state.ID)
 	if found {
 		list[at] = state
@@ -88,8 +91,8 @@
 	x.lists[model] = slices.Insert(list, at, state)
 }
 
-func (x *holderIndex) remove(model modelOf, id string) {
-	list := x.list(model)
+func (x *holderIndex) remove(model modelKey, id string) {
+	list := x.mutableList(model)
 	if at, found := find(list, id); found {
 		x.lists[model] = slices.Delete(list, at, at+1)
 	}
--- a/pkg/fleet/lapse.go
+++ b/pkg/fleet/lapse.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// lapseTime is how long an upstream is used after its entry lapsed. The platform drops entries whose
-// heartbeats did not reach it, as while it was away or a hall was cut off; an upstream that lives
-// has a new entry soon. The time counts from when the entry was last known to be listed. It is
-// below the 2 s after which a leaving upstream may get nothing.
-const lapseTime = 1400 * time.Millisecond
+// lapseGrace is how long an upstream is still used after its entry lapsed. The platform drops entries
+// whose heartbeats did not reach it, for example while it was away or a hall was cut off; an upstream
+// that is alive soon has a new entry. The time counts from when the entry was last known to be listed.
+// It is shorter than the 2 s after which a leaving upstream may get nothing.
+const lapseGrace = 1400 * time.Millisecond
 
-// lapse lapses or drops an upstream that has no entry which counts. The caller holds the lock.
-func (d *Directory) lapse(state *State, previousCurrentAt time.Time) (Change, bool) {
+// lapseOrDrop marks an upstream without a current entry as lapsed, or removes it. It returns false if
+// nothing changed. The caller holds the lock.
+func (d *Directory) lapseOrDrop(state *State, previousCurrentAt time.Time) (Change, bool) {
 	dropAt := d.dropAt(state, previousCurrentAt)
 	switch {
 	case !time.Now().Before(dropAt):
@@ -24,11 +25,11 @@
 	return Change{}, false
 }
 
-// dropAt returns when an upstream without an entry is dropped. One that was leaving, or that another
-// one replaces, is not coming back, and is dropped at once (the zero time). One that lapsed with
-// an earlier list keeps its time. One that lapses with this list has lapseTime from
-// previousCurrentAt, when the entry was last known to be there; that is over already where this
-// box's list was out of date for longer.
+// dropAt returns when an upstream without an entry is removed. One that was leaving, or that another
+// one replaces, is not coming back and is removed at once (the zero time). One that lapsed with an
+// earlier list keeps its time. One that lapses with this list gets lapseGrace from previousCurrentAt,
+// when the entry was last known to be listed; that is over already if this box's list was out of date
+// for longer.
 func (d *Directory) dropAt(state *State, previousCurrentAt time.Time) time.Time {
 	switch {
 	case state.Leaving || d.listing.hasSuccessor(state.Upstream):
@@ -36,11 +37,11 @@
 	case !state.DropAt.IsZero():
 		return state.DropAt
 	}
-	return previousCurrentAt.Add(lapseTime)
+	return previousCurrentAt.Add(lapseGrace)
 }
 
-// DropLapsed drops the upstreams whose entries lapsed for longer than lapseTime, and returns them.
-// The caller calls it regularly, since a list need not come in time.
+// DropLapsed removes the upstreams whose entries lapsed for longer than lapseGrace, and returns them.
+// The caller must call it regularly, since a list may not come in time.
 func (d *Directory) DropLapsed() []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,13 +58,14 @@
 	return changes
 }
 
-// drop removes an upstream and what is kept by its id. The caller holds the lock.
+// drop removes an upstream and what is stored under its id, except marks and notices, which expire by
+// themselves. The caller holds the lock.
 func (d *Directory) drop(state *State) Change {
 	delete(d.states, state.ID)
 	delete(d.lapsed, state.ID)
 	delete(d.residencies, state.ID)
-	delete(d.refusals, state.ID)
+	delete(d.connectFailures, state.ID)
 	delete(d.cold, state.ID)
-	delete(d.heldBack, state.ID)
+	delete(d.deferredUntil, state.ID)
 	return Change{Upstream: *state.Upstream, Kind: Removed}
 }
--- a/pkg/fleet/limit.go
+++ b/pkg/fleet/limit.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// This file has the limits that upstreams name in their answers: how many requests a second one takes from all boxes together. A limit lasts
-// for as long as answers name it: the first one that does not, to a request sent after the latest one that did, ends it. Boxes tell each
-// other, and what an answer told last goes first.
+// This file has the rate limits that upstreams name in their answers: how many requests a second one
+// accepts from all boxes together. A limit lasts for as long as answers name it. It ends with the first
+// answer that names none and whose request was sent after the latest answer that did. Boxes report
+// limits to each other, and the latest answer takes precedence.
 
-// limitMemory is for how long it is kept that a limit has ended: far longer than reports of it are under way between boxes.
-const limitMemory = time.Minute
+// endedLimitRetention is how long the end of a limit is remembered: far longer than reports of it
+// travel between boxes.
+const endedLimitRetention = time.Minute
 
-// Limit is what is known of the limit of one upstream.
+// Limit is what is known about the rate limit of one upstream.
 type Limit struct {
 	PerSecond float64
-	// At is when the latest answer told of it; zero if none did.
+	// At is when the latest answer stated it; zero if none did.
 	At time.Time
-	// Ended means that this answer named none.
+	// Ended means that this answer named no limit.
 	Ended bool
 }
 
-// Named reports whether there is a limit.
+// Named reports whether a limit is in force.
 func (l Limit) Named() bool { return !l.At.IsZero() && !l.Ended }
 
-// same reports whether two limits bind alike.
+// same reports whether two limits have the same effect.
 func (l Limit) same(other Limit) bool {
 	return l.Named() == other.Named() && (!l.Named() || l.PerSecond == other.PerSecond)
 }
 
-// LimitReport is what one box tells another of the limit of an upstream.
+// LimitReport is what one box reports to another about the limit of an upstream.
 type LimitReport struct {
 	Upstream string `json:"upstream"`
 	// PerSecond is the limit; nil if it has ended.
 	PerSecond *float64 `json:"perSecond,omitempty"`
-	// Age is how long ago an answer told so.
+	// Age is the time since the answer that stated it.
 	Age time.Duration `json:"age"`
 }
 
-// report is what another box is told of a limit.
-func (l Limit) report(upstream string, now time.Time) LimitReport {
+// toReport returns the report of a limit for another box.
+func (l Limit) toReport(upstream string, now time.Time) LimitReport {
 	report := LimitReport{Upstream: upstream, Age: now.Sub(l.At)}
 	if l.Named() {
 		report.PerSecond = &l.PerSecond
@@ -47,89 +49,93 @@
 	return report
 }
 
-// limit is what a report tells.
-func (r LimitReport) limit(now time.Time) Limit {
-	limit := Limit{At: now.Add(-max(0, min(r.Age, limitMemory))), Ended: r.PerSecond == nil}
+// toLimit returns the limit that a report describes. Its age is cut to the range from 0 to
+// endedLimitRetention.
+func (r LimitReport) toLimit(now time.Time) Limit {
+	limit := Limit{At: now.Add(-max(0, min(r.Age, endedLimitRetention))), Ended: r.PerSecond == nil}
 	if r.PerSecond != nil {
 		limit.PerSecond = max(0, *r.PerSecond)
 	}
 	return limit
 }
 
-// Limit returns what this box knows of the limit of an upstream.
+// Limit returns what this box knows about the limit of an upstream.
 func (d *Directory) Limit(id string) Limit {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.told[id].limit
+	return d.notices[id].limit
 }
 
-// takeLimit takes what an answer tells of the limit, and returns what is new of that. The caller holds the lock.
-func (t *told) takeLimit(now time.Time, n Notice) (named *float64, ended bool) {
-	before := t.limit
+// updateLimit applies what an answer states about the limit, and returns what changed: the limit that
+// it names, or that it ended. The caller holds the lock.
+func (t *noticeState) updateLimit(now time.Time, n Notice) (named *float64, ended bool) {
+	previous := t.limit
 	switch {
 	case n.Limit != nil:
 		t.limit = Limit{PerSecond: *n.Limit, At: now}
-	case n.Unlimited && before.Named() && before.At.Before(n.begun):
+	case n.Unlimited && previous.Named() && previous.At.Before(n.requestStart):
 		t.limit = Limit{At: now, Ended: true}
 	}
-	if t.limit.same(before) {
+	if t.limit.same(previous) {
 		return nil, false
 	}
 	return n.Limit, t.limit.Ended
 }
 
-// noteLimitChanged has the other boxes told of an upstream's limit, and has this box ask anew whether it may send there. The caller holds
-// the lock.
-func (d *Directory) noteLimitChanged(id string) {
+// recordLimitChange marks an upstream's limit to be reported to other boxes. It also ends the deferral
+// of requests, so that this box asks again whether it may send there. The caller holds the lock.
+func (d *Directory) recordLimitChange(id string) {
 	d.changedLimits[id] = true
-	delete(d.heldBack, id)
+	delete(d.deferredUntil, id)
 }
 
-// NoteLimits takes in what another box told, and returns the upstreams of which that is news. Upstreams that this box does not list are left
-// out, and of what is older than what it knows another box is told again.
-func (d *Directory) NoteLimits(reports []LimitReport) (news []string) {
+// NoteLimits applies what another box reported, and returns the upstreams whose limits changed. It
+// skips upstreams that this box does not list. Where a report is older than what this box knows and
+// differs from it, this box reports that upstream's limit to the others again.
+func (d *Directory) NoteLimits(reports []LimitReport) (changed []string) {
 	now := time.Now()
 	for _, report := range reports {
-		if d.noteLimit(report, now) {
-			news = append(news, report.Upstream)
+		if d.applyLimitReport(report, now) {
+			changed = append(changed, report.Upstream)
 		}
 	}
-	return news
+	return changed
 }
 
-func (d *Directory) noteLimit(report LimitReport, now time.Time) (isNews bool) {
-	if isNews = d.storeLimit(report, now); isNews && d.OnNotice != nil {
+func (d *Directory) applyLimitReport(report LimitReport, now time.Time) (changed bool) {
+	if changed = d.storeLimitReport(report, now); changed && d.OnNotice != nil {
 		d.OnNotice(Noted{
 			Notice: Notice{Limit: report.PerSecond, Unlimited: report.PerSecond == nil, Source: SourceBox}, Upstream: report.Upstream,
 		})
 	}
-	return isNews
+	return changed
 }
 
-func (d *Directory) storeLimit(report LimitReport, now time.Time) (isNews bool) {
+func (d *Directory) storeLimitReport(report LimitReport, now time.Time) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	id := report.Upstream
 	if d.states[id] == nil {
 		return false
 	}
-	known, told := d.told[id], report.limit(now)
-	isNews = !known.limit.same(told)
-	if known.limit.At.After(told.At) {
-		if isNews {
+	known, reported := d.notices[id], report.toLimit(now)
+	changed = !known.limit.same(reported)
+	if known.limit.At.After(reported.At) {
+		if changed {
 			d.changedLimits[id] = true
 		}
 		return false
 	}
-	known.limit, known.lastKnown = told, now
-	d.told[id] = known
-	if isNews {
-		delete(d.heldBack, id)
+	known.limit, known.lastSeen = reported, now
+	d.notices[id] = known
+	if changed {
+		delete(d.deferredUntil, id)
 	}
-	return isNews
+	return changed
 }
 
-// TakeChangedLimits returns the upstreams whose limits other boxes are to be told of, once.
+// TakeChangedLimits returns the upstreams whose limits are to be reported to other boxes, and forgets
+// them.
 func (d *Directory) TakeChangedLimits() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,12 +148,12 @@
 	return ids
 }
 
-// LimitedUpstreams lists the upstreams that name a limit, in the order of their ids.
+// LimitedUpstreams returns the upstreams that name a limit, sorted by id.
 func (d *Directory) LimitedUpstreams() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var ids []string
-	for id, known := range d.told {
+	for id, known := range d.notices {
 		if known.limit.Named() {
 			ids = append(ids, id)
 		}
@@ -156,15 +162,16 @@
 	return ids
 }
 
-// LimitReports returns what other boxes are told of the limits of upstreams, as far as anything is known of them.
+// LimitReports returns the reports of upstreams' limits for other boxes. It skips upstreams whose
+// answers stated nothing about one.
 func (d *Directory) LimitReports(ids []string) []LimitReport {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	now := time.Now()
 	var reports []LimitReport
 	for _, id := range ids {
-		if limit := d.told[id].limit; !limit.At.IsZero() {
-			reports = append(reports, limit.report(id, now))
+		if limit := d.notices[id].limit; !limit.At.IsZero() {
+			reports = append(reports, limit.toReport(id, now))
 		}
 	}
 	return reports
--- a/pkg/fleet/limit_test.go
+++ b/pkg/fleet/limit_test.go
@@ -9,14 +9,14 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("a limit that an upstream names", func() {
+var _ = Describe("a rate limit that an upstream names", func() {
 	listed := func() *Directory {
 		d := New()
 		d.SetList(1, []Upstream{{ID: "a", Service: "s", Hall: "h", Address: "a:80", Revision: 1}}, time.Now())
 		return d
 	}
 	limit := func(perSecond float64) *float64 { return &perSecond }
-	// answered is one sending that takes a while, and whose answer names a limit, or none.
+	// answered sends one request, whose answer takes a while and names a limit, or none.
 	answered := func(d *Directory, took time.Duration, named *float64) {
 		to, err := d.Begin(d.Get("a").Upstream)
 		Expect(err).NotTo(HaveOccurred())
@@ -46,7 +46,7 @@
 		})
 	})
 
-	It("is that of the latest answer at any box, and a box that tells of an older one is told again", func() {
+	It("is that of the latest answer at any box, and is reported again after a box reported an older one", func() {
 		spectest.Bubble(func() {
 			d := listed()
 			time.Sleep(time.Minute)
@@ -61,27 +61,27 @@
 			Expect(d.NoteLimits([]LimitReport{{Upstream: "a", PerSecond: limit(3)}})).To(Equal([]string{"a"}))
 			Expect(d.NoteLimits([]LimitReport{{Upstream: "a", Age: -time.Hour}})).To(Equal([]string{"a"}))
 			Expect(d.Limit("a").Named()).To(BeFalse())
-			Expect(d.TakeChangedLimits()).To(BeEmpty(), "what other boxes told")
+			Expect(d.TakeChangedLimits()).To(BeEmpty(), "what other boxes reported")
 			Expect(d.NoteLimits([]LimitReport{{Upstream: "unknown", PerSecond: limit(3)}})).To(BeEmpty())
 			Expect(d.LimitedUpstreams()).To(BeEmpty())
 		})
 	})
 
-	It("has what it held back asked for anew when it changes", func() {
+	It("ends the deferral of requests when it changes", func() {
 		spectest.Bubble(func() {
 			d := listed()
-			held := func() bool { return d.RateBound("a", 0).HeldUntil.After(time.Now()) }
+			deferred := func() bool { return d.RateBound("a", 0).HeldUntil.After(time.Now()) }
 			answered(d, time.Millisecond, limit(1))
 			d.HoldBack("a", time.Now().Add(time.Second))
-			Expect(held()).To(BeTrue())
+			Expect(deferred()).To(BeTrue())
 			answered(d, time.Millisecond, limit(1))
-			Expect(held()).To(BeTrue())
+			Expect(deferred()).To(BeTrue())
 			Expect(d.NoteLimits([]LimitReport{{Upstream: "a", PerSecond: limit(9)}})).To(HaveLen(1))
-			Expect(held()).To(BeFalse())
+			Expect(deferred()).To(BeFalse())
 		})
 	})
 
-	It("is forgotten after its end, and when the upstream is gone for long", func() {
+	It("is forgotten after its end, and when the upstream has been gone for long", func() {
 		spectest.Bubble(func() {
 			d := listed()
 			answered(d, time.Millisecond, limit(1))
@@ -89,14 +89,14 @@
 			d.ExpireMarks()
 			Expect(d.LimitedUpstreams()).To(Equal([]string{"a"}))
 			answered(d, time.Millisecond, nil)
-			time.Sleep(limitMemory + time.Second)
+			time.Sleep(endedLimitRetention + time.Second)
 			d.ExpireMarks()
-			Expect(d.told).To(BeEmpty())
+			Expect(d.notices).To(BeEmpty())
 			answered(d, time.Millisecond, limit(1))
 			d.SetList(2, nil, time.Now().Add(-time.Hour))
-			time.Sleep(toldMemory + time.Second)
+			time.Sleep(noticeRetention + time.Second)
 			d.ExpireMarks()
-			Expect(d.told).To(BeEmpty())
+			Expect(d.notices).To(BeEmpty())
 		})
 	})
 })
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Change is an upstream that a list, or the time since its entry lapsed, changed.
+// Change is what a list, or the end of lapseGrace, changed about an upstream.
 type Change struct {
 	Upstream Upstream
 	// Kind is one of the ChangeKind constants.
@@ -21,23 +21,23 @@
 	Joined ChangeKind = "joined"
 	// Leaving upstreams began to leave.
 	Leaving ChangeKind = "leaving"
-	// Lapsed upstreams have no entry any more; they are used until lapseTime is over.
+	// Lapsed upstreams have no entry any more; they are used until lapseGrace is over.
 	Lapsed ChangeKind = "lapsed"
 	// Removed upstreams are gone from the directory.
 	Removed ChangeKind = "removed"
 )
 
-// ListChange is what changed in the list of upstreams.
+// ListChange is a delta of the list of upstreams.
 type ListChange struct {
-	// Put are the entries that are new or other, and Dropped the ids of those that are gone.
+	// Put holds the new and changed entries, and Dropped the ids of the removed ones.
 	Put     []Upstream
 	Dropped []string
 	// PreviousCurrentAt is when the list before was last known to be current.
 	PreviousCurrentAt time.Time
 }
 
-// SetList takes a list of all upstreams, unless it is older than the latest one, and returns what
-// changed. previousCurrentAt is when the list before was last known to be current.
+// SetList replaces the list of all upstreams, unless the new one is older than the latest, and returns
+// what changed. previousCurrentAt is when the list before was last known to be current.
 func (d *Directory) SetList(revision int64, list []Upstream, previousCurrentAt time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,8 +57,8 @@
 	return d.changeList(revision, change)
 }
 
-// ChangeList takes what changed in the list of upstreams since the latest one, unless it is older, and returns what that changed. Its cost
-// goes with what changed, not with how many upstreams there are.
+// ChangeList applies a delta to the latest list, unless it is older, and returns what changed. Its cost
+// depends on the size of the delta, not on the number of upstreams.
 func (d *Directory) ChangeList(revision int64, change ListChange) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,66 +71,68 @@
 // changeList is ChangeList for a caller that holds the lock.
 func (d *Directory) changeList(revision int64, change ListChange) []Change {
 	d.revision = revision
-	touched := map[string]bool{}
+	affected := map[string]bool{}
 	for _, id := range change.Dropped {
-		touchAll(touched, d.listing.remove(id))
+		addIDs(affected, d.listing.remove(id))
 	}
 	for _, entry := range change.Put {
-		touchAll(touched, d.listing.put(entry))
+		addIDs(affected, d.listing.put(entry))
 	}
 	for id := range d.lapsed {
-		touched[id] = true // Its successor may have come.
+		affected[id] = true // Its successor may be listed now.
 	}
-	order := make([]string, 0, len(touched))
-	for id := range touched {
-		order = append(order, id)
+	ids := make([]string, 0, len(affected))
+	for id := range affected {
+		ids = append(ids, id)
 	}
-	slices.Sort(order)
+	slices.Sort(ids)
 	var changes []Change
-	for _, id := range order {
-		if noted, ok := d.relist(id, change.PreviousCurrentAt); ok {
-			changes = append(changes, noted)
+	for _, id := range ids {
+		if reported, ok := d.updateState(id, change.PreviousCurrentAt); ok {
+			changes = append(changes, reported)
 		}
 	}
-	d.reindex(order...)
+	d.reindex(ids...)
 	return changes
 }
 
-func touchAll(touched map[string]bool, ids []string) {
+func addIDs(set map[string]bool, ids []string) {
 	for _, id := range ids {
-		touched[id] = true
+		set[id] = true
 	}
 }
 
-// relist brings the state of one upstream in line with the list, and returns what is worth a note. The caller holds the lock.
-func (d *Directory) relist(id string, previousCurrentAt time.Time) (Change, bool) {
+// updateState brings the state of one upstream in line with the list. It returns the change to report,
+// or false if there is none. The caller holds the lock.
+func (d *Directory) updateState(id string, previousCurrentAt time.Time) (Change, bool) {
 	old := d.states[id]
-	entry, live := d.listing.live(id)
+	entry, live := d.listing.currentEntry(id)
 	switch {
 	case !live && old == nil:
 		return Change{}, false
 	case !live:
-		return d.lapse(old, previousCurrentAt)
+		return d.lapseOrDrop(old, previousCurrentAt)
 	case old != nil && old.Revision == entry.Revision && old.DropAt.IsZero():
 		return Change{}, false
 	}
-	d.noteListed(old, entry)
+	d.recordListed(old, entry)
 	delete(d.lapsed, id)
-	d.states[id] = d.join(entry)
+	d.states[id] = d.newState(entry)
 	kind := changeOf(old, entry)
 	return Change{Upstream: *entry, Kind: kind}, kind != ""
 }
 
-// noteListed takes from an entry whether the engine is cold, and whether it is back after its entry had lapsed. The caller holds the
-// lock.
-func (d *Directory) noteListed(old *State, entry *Upstream) {
-	d.noteCold(entry.ID, entry.Cold)
+// recordListed records from an entry whether the engine is cold, and whether it came back after its
+// entry had lapsed. The caller holds the lock.
+func (d *Directory) recordListed(old *State, entry *Upstream) {
+	d.setCold(entry.ID, entry.Cold)
 	if old != nil && !old.DropAt.IsZero() {
-		d.noteBack(entry.ID)
+		d.recordReturn(entry.ID)
 	}
 }
 
-// changeOf names what an entry changes, compared with the state before; "" for what needs no note.
+// changeOf returns what an entry changes compared with the state before; "" if there is nothing to
+// report.
 func changeOf(old *State, entry *Upstream) ChangeKind {
 	switch {
 	case old == nil:
--- a/pkg/fleet/listing.go
+++ b/pkg/fleet/listing.go
@@ -2,73 +2,76 @@
 
 import "slices"
 
-// listing are the entries of the latest list, with what decides whether one counts: at one address, and under one name, the later of two
-// processes is the one that lives. It answers for single entries, so that a change of the list costs what changed.
+// listing holds the entries of the latest list, with the indexes that decide which of them are current:
+// at one address, and under one name, the later of two processes is the one that is alive. It decides
+// for single entries, so that the cost of a change depends on the size of the change.
 type listing struct {
 	entries map[string]*Upstream
-	// atAddress has the entries by address, and named how many there are under a name.
-	atAddress addressIndex
-	named     map[string]int
-	names     names
+	// byAddress holds the entries by address, and countByName the number of entries under each name.
+	byAddress   addressIndex
+	countByName map[string]int
+	interner    nameInterner
 }
 
 func newListing() listing {
-	return listing{entries: map[string]*Upstream{}, atAddress: newAddressIndex(), named: map[string]int{}, names: names{}}
+	return listing{entries: map[string]*Upstream{}, byAddress: newAddressIndex(), countByName: map[string]int{}, interner: nameInterner{}}
 }
 
-// put takes a new or changed entry, and returns the ids whose entries may count now or not any more.
-func (l *listing) put(entry Upstream) (touched []string) {
-	touched = l.remove(entry.ID)
-	kept := l.names.share(&entry)
+// put stores a new or changed entry, and returns the ids of the entries that may have become current or
+// outdated.
+func (l *listing) put(entry Upstream) (affected []string) {
+	affected = l.remove(entry.ID)
+	kept := l.interner.internEntry(&entry)
 	l.entries[kept.ID] = kept
-	l.named[NameOf(kept.ID)]++
-	l.atAddress.add(kept)
-	return l.atAddress.appendIDs(touched, kept.Address)
+	l.countByName[NameOf(kept.ID)]++
+	l.byAddress.add(kept)
+	return l.byAddress.appendIDs(affected, kept.Address)
 }
 
-// remove drops an entry, and returns the ids whose entries may count now, its own among them.
-func (l *listing) remove(id string) (touched []string) {
+// remove drops an entry, and returns the ids of the entries that may have become current, and its own.
+func (l *listing) remove(id string) (affected []string) {
 	entry, listed := l.entries[id]
 	if !listed {
 		return []string{id}
 	}
-	touched = l.atAddress.appendIDs(nil, entry.Address)
+	affected = l.byAddress.appendIDs(nil, entry.Address)
 	delete(l.entries, id)
-	l.atAddress.remove(entry)
+	l.byAddress.remove(entry)
 	name := NameOf(id)
-	if l.named[name]--; l.named[name] == 0 {
-		delete(l.named, name)
+	if l.countByName[name]--; l.countByName[name] == 0 {
+		delete(l.countByName, name)
 	}
-	return touched
+	return affected
 }
 
-// live returns the entry of an id if it counts: no later process is listed at its address. That one is gone, though its entry stays until the
-// platform misses its heartbeats.
-func (l *listing) live(id string) (entry *Upstream, ok bool) {
+// currentEntry returns the entry of an id, unless a later process is listed at its address. The earlier
+// process is gone then, though its entry stays until the platform misses the heartbeats of that process.
+func (l *listing) currentEntry(id string) (entry *Upstream, ok bool) {
 	entry, ok = l.entries[id]
 	if !ok || entry.Address == "" {
 		return entry, ok
 	}
-	if l.atAddress.any(entry.Address, func(other *Upstream) bool { return other.replaces(entry) }) {
+	if l.byAddress.any(entry.Address, func(other *Upstream) bool { return other.replaces(entry) }) {
 		return nil, false
 	}
 	return entry, true
 }
 
-// hasSuccessor reports whether an upstream without an entry that counts is not coming back: another is listed at its address, or a life
-// under its name.
+// hasSuccessor reports whether an upstream without a current entry is not coming back: another one is
+// listed at its address, or another incarnation under its name.
 func (l *listing) hasSuccessor(upstream *Upstream) bool {
-	return l.atAddress.first[upstream.Address] != nil || l.named[NameOf(upstream.ID)] > 0
+	return l.byAddress.first[upstream.Address] != nil || l.countByName[NameOf(upstream.ID)] > 0
 }
 
-// addressIndex has the entries at each address. Nearly all have one: the second at the same address, and later ones, are kept apart.
+// addressIndex holds the entries at each address. Nearly all addresses have one; further entries are
+// kept separately, in others.
 type addressIndex struct {
-	first map[string]*Upstream
-	more  map[string][]*Upstream
+	first  map[string]*Upstream
+	others map[string][]*Upstream
 }
 
 func newAddressIndex() addressIndex {
-	return addressIndex{first: map[string]*Upstream{}, more: map[string][]*Upstream{}}
+	return addressIndex{first: map[string]*Upstream{}, others: map[string][]*Upstream{}}
 }
 
 func (x *addressIndex) add(entry *Upstream) {
@@ -76,28 +79,28 @@
 		x.first[entry.Address] = entry
 		return
 	}
-	x.more[entry.Address] = append(x.more[entry.Address], entry)
+	x.others[entry.Address] = append(x.others[entry.Address], entry)
 }
 
 func (x *addressIndex) remove(entry *Upstream) {
 	address := entry.Address
-	others := slices.DeleteFunc(x.more[address], func(other *Upstream) bool { return other == entry })
+	others := slices.DeleteFunc(x.others[address], func(other *Upstream) bool { return other == entry })
 	if x.first[address] == entry {
 		delete(x.first, address)
 		if len(others) > 0 {
 			x.first[address], others = others[0], others[1:]
 		}
 	}
-	x.more[address] = others
+	x.others[address] = others
 	if len(others) == 0 {
-		delete(x.more, address)
+		delete(x.others, address)
 	}
 }
 
-// any reports whether f holds for an entry at an address.
+// any reports whether f is true of an entry at an address.
 func (x *addressIndex) any(address string, f func(*Upstream) bool) bool {
 	first := x.first[address]
-	return first != nil && (f(first) || slices.ContainsFunc(x.more[address], f))
+	return first != nil && (f(first) || slices.ContainsFunc(x.others[address], f))
 }
 
 // appendIDs appends the ids of the entries at an address to a list.
@@ -105,7 +108,7 @@
 	if first := x.first[address]; first != nil {
 		list = append(list, first.ID)
 	}
-	for _, entry := range x.more[address] {
+	for _, entry := range x.others[address] {
 		list = append(list, entry.ID)
 	}
 	return list
--- a/pkg/fleet/listing_test.go
+++ b/pkg/fleet/listing_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// latestAt are the entries of a list that count: the later one where two have an address.
-func latestAt(list map[string]Upstream) []string {
+// currentIDs returns the ids of a list's current entries: the later one where two have the same address.
+func currentIDs(list map[string]Upstream) []string {
 	var live []string
 	for id, entry := range list {
 		replaced := false
@@ -27,12 +27,12 @@
 	return live
 }
 
-// expectIndexed fails unless the lists of services and models are those of the states.
+// expectIndexed fails unless the lists by service and by model match the states.
 func expectIndexed(t *rapid.T, d *Directory) {
-	services, models := map[string][]string{}, map[modelOf][]string{}
+	services, models := map[string][]string{}, map[modelKey][]string{}
 	for id, state := range d.states {
 		services[state.Service] = append(services[state.Service], id)
-		for _, model := range state.held() {
+		for _, model := range state.servableModels() {
 			models[model] = append(models[model], id)
 		}
 	}
@@ -67,8 +67,8 @@
 	return ids
 }
 
-var _ = Describe("a list that changes bit by bit", func() {
-	It("ends at what a whole list gives, and is indexed by service and model", func() {
+var _ = Describe("a list that changes by deltas", func() {
+	It("ends in what a whole list gives, and is indexed by service and model", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			d := New()
 			list := map[string]Upstream{}
@@ -77,7 +77,7 @@
 				change := ListChange{PreviousCurrentAt: time.Now()}
 				for range rapid.IntRange(1, 4).Draw(t, "entries") {
 					revision++
-					id := IncarnationID(fmt.Sprint("e", rapid.IntRange(0, 5).Draw(t, "name")), int64(rapid.IntRange(0, 2).Draw(t, "life")))
+					id := IncarnationID(fmt.Sprint("e", rapid.IntRange(0, 5).Draw(t, "name")), int64(rapid.IntRange(0, 2).Draw(t, "start")))
 					if rapid.IntRange(0, 3).Draw(t, "dropped") == 0 {
 						delete(list, id)
 						change.Dropped = append(change.Dropped, id)
@@ -93,7 +93,7 @@
 					change.Dropped = slices.DeleteFunc(change.Dropped, func(dropped string) bool { return dropped == id })
 					change.Put = append(slices.DeleteFunc(change.Put, func(u Upstream) bool { return u.ID == id }), entry)
 				}
-				switch rapid.IntRange(0, 3).Draw(t, "beside") {
+				switch rapid.IntRange(0, 3).Draw(t, "other change") {
 				case 0:
 					d.SetEvacuated(revision, map[string]bool{"h0": rapid.Bool().Draw(t, "evacuated")})
 				case 1:
@@ -110,13 +110,13 @@
 				}
 			}
 			slices.Sort(live)
-			if want := latestAt(list); !slices.Equal(live, want) {
+			if want := currentIDs(list); !slices.Equal(live, want) {
 				t.Fatalf("%v are listed, not %v", live, want)
 			}
 		})
 	})
 
-	It("leaves the lists as they are that were handed out before", func() {
+	It("leaves slices unchanged that were handed out before", func() {
 		d := New()
 		entry := func(id string, revision int64) Upstream {
 			return Upstream{ID: id, Service: "s", Address: id, Revision: revision, Models: []Holding{{Model: "m"}}}
@@ -130,12 +130,12 @@
 		Expect(strings.Join(idsOf(d.Holders("s", "m")), " ")).To(Equal("aa b"))
 	})
 
-	It("tells a box what was published since, at the cost of that", func() {
+	It("returns only what was published since a version, and keeps few entries for that", func() {
 		d := New()
 		for n := range 500 {
 			d.Publish(1, fmt.Sprint("e", n%50), Residency{Busy: n%2 == 0})
 		}
-		Expect(len(d.published)).To(BeNumerically("<=", 2*50+sparePublished))
+		Expect(len(d.published)).To(BeNumerically("<=", 2*50+publishedSlack))
 		update := d.UpdateSince(Version{Term: 1, Sequence: 497})
 		Expect(update.Engines).To(HaveLen(3))
 		Expect(d.UpdateSince(Version{}).Engines).To(HaveLen(50))
--- a/pkg/fleet/names.go
+++ b/pkg/fleet/names.go
@@ -1,46 +1,47 @@
 package fleet
 
-// names has one copy of each name that many entries share, as those of services, halls and models: each entry is decoded with copies of its
-// own.
-type names map[string]string
+// nameInterner keeps one copy of each name that many entries share, such as those of services, halls
+// and models. Each entry is decoded with copies of its own.
+type nameInterner map[string]string
 
-// maxNames bounds the table. It begins anew beyond it, since models and adapters come and go over a directory's life.
-const maxNames = 1 << 14
+// maxInternedNames bounds the table. A full table is cleared, since models and adapters come and go
+// during a directory's life.
+const maxInternedNames = 1 << 14
 
-func (n names) one(name string) string {
+func (n nameInterner) intern(name string) string {
 	if shared, ok := n[name]; ok {
 		return shared
 	}
-	if len(n) >= maxNames {
+	if len(n) >= maxInternedNames {
 		clear(n)
 	}
 	n[name] = name
 	return name
 }
 
-// all returns a list with shared names, and no spare capacity.
-func (n names) all(list []string) []string {
+// internAll returns a list of interned names, without spare capacity.
+func (n nameInterner) internAll(list []string) []string {
 	if len(list) == 0 {
 		return nil
 	}
 	shared := make([]string, len(list))
 	for i, name := range list {
-		shared[i] = n.one(name)
+		shared[i] = n.intern(name)
 	}
 	return shared
 }
 
-// share returns an entry with shared names.
-func (n names) share(entry *Upstream) *Upstream {
+// internEntry returns a copy of an entry with interned names.
+func (n nameInterner) internEntry(entry *Upstream) *Upstream {
 	shared := *entry
-	shared.Service, shared.Hall = n.one(entry.Service), n.one(entry.Hall)
-	shared.InMemory, shared.OnDisk = n.all(entry.InMemory), n.all(entry.OnDisk)
+	shared.Service, shared.Hall = n.intern(entry.Service), n.intern(entry.Hall)
+	shared.InMemory, shared.OnDisk = n.internAll(entry.InMemory), n.internAll(entry.OnDisk)
 	shared.Models = nil
 	if len(entry.Models) > 0 {
 		shared.Models = make([]Holding, len(entry.Models))
 	}
 	for i, holding := range entry.Models {
-		shared.Models[i] = Holding{Model: n.one(holding.Model), Adapters: n.all(holding.Adapters)}
+		shared.Models[i] = Holding{Model: n.intern(holding.Model), Adapters: n.internAll(holding.Adapters)}
 	}
 	return &shared
 }
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -7,34 +7,38 @@
 	"github.com/juju/errors"
 )
 
-// This file has what upstreams tell of themselves in their answers. A Directory owns it: it is kept under the id of one life of an
-// upstream and binds whatever this box sends there, since all of it passes Begin.
+// This file has what upstreams state about themselves in their answers. A Directory stores it under the
+// id of one incarnation of an upstream. It binds every request that this box sends there, since all of
+// them go through Begin.
 //
-//	told     begins                        binds                    ends
-//	leaving  with the answer that told it  every box that knows it  with that life; no list takes it back
-//	rest     with the answer that asked    this box                 after the time it asked for; see rest
-//	limit    with the answer that named it every box that knows it  with an answer that names none; see Limit
+//	notice   begins                          binds                    ends
+//	leaving  with the answer that stated it  every box that knows it  with that incarnation; no list revokes it
+//	rest     with the answer that asked      this box                 after the time it asked for; see backoff
+//	limit    with the answer that named it   every box that knows it  with an answer that names none; see Limit
 
-// Notice is what the head of one answer tells of the upstream's process, beside the answer itself.
+// Notice is what the head of one answer states about the upstream's process, apart from the answer
+// itself.
 type Notice struct {
 	// Leaving means that the process ends soon.
 	Leaving bool
-	// Rest is for how long it wants nothing from this box; 0 if it asked for none.
+	// Rest is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
+	// asked for none.
 	Rest time.Duration
-	// Cold is for how long it is cold; 0 if it did not say so.
+	// Cold is how long the upstream stays cold; 0 if it did not say so.
 	Cold time.Duration
-	// Limit is how many requests a second it takes from all boxes together; nil if the answer names no limit.
+	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
+	// no limit.
 	Limit *float64
-	// Unlimited means that the answer, which is that to the request that was sent, names no limit.
+	// Unlimited means that the answer names no limit, and belongs to the request that was sent.
 	Unlimited bool
-	// Unreadable is a value that tells nothing, which Note shortens; empty if all could be read.
+	// Unreadable is a value that could not be parsed, which Note shortens; empty if all values could.
 	Unreadable string
-	// Source is what was answered, or another box that was told.
+	// Source is what the answer was to, or SourceBox if another box reported the notice.
 	Source Source
-	// Status of the answer.
+	// Status is the HTTP status of the answer.
 	Status int
-	// begun is when the sending began that was answered.
-	begun time.Time
+	// requestStart is when the answered request began.
+	requestStart time.Time
 }
 
 // Source is where a notice comes from, for logs and metrics.
@@ -48,20 +52,20 @@
 	SourceBox     Source = "box"
 )
 
-// Why an upstream may not be sent anything by this box now.
+// Reasons why this box may not send anything to an upstream now.
 const (
 	ErrLeaving = errors.ConstError("upstream leaves: choose another one")
-	ErrResting = errors.ConstError("upstream asked this box for rest: choose another one, or come again at its end")
+	ErrBackoff = errors.ConstError("upstream asked this box for rest: choose another one, or come again at its end")
 )
 
-// Noted is a notice that told something new.
+// Noted is a notice that stated something new.
 type Noted struct {
 	Notice
 	// Upstream is its id.
 	Upstream string
 }
 
-// Kinds names what a notice tells.
+// Kinds returns the names of what a notice states.
 func (n Notice) Kinds() []string {
 	var kinds []string
 	if n.Leaving {
@@ -89,34 +93,37 @@
 	return !n.Leaving && n.Rest <= 0 && n.Cold <= 0 && n.Limit == nil && !n.Unlimited && n.Unreadable == ""
 }
 
-// told is what the answers of one life of an upstream told.
-type told struct {
-	// leavingAt is when this box came to know that it leaves; zero if it does not know of it.
+// noticeState is what the answers of one incarnation of an upstream stated.
+type noticeState struct {
+	// leavingAt is when this box learned that the upstream is leaving; zero if it did not.
 	leavingAt time.Time
-	rest      rest
+	backoff   backoff
 	limit     Limit
-	// lastKnown is when the directory last had the upstream.
-	lastKnown time.Time
+	// lastSeen is when the directory last had the upstream, or a notice of it.
+	lastSeen time.Time
 }
 
-// Endpoint is one sending to one life of an upstream, from Begin to End.
+// Endpoint is the target of one request to one incarnation of an upstream, from Begin to End.
 type Endpoint struct {
 	Upstream
 
 	directory *Directory
-	begun     time.Time
-	// after is the end of the rest after which the sending is one of the first; zero if it is not.
-	after time.Time
-	// answered is set once the head of the answer is there, and rested if that asked for rest.
-	answered, rested bool
+	startedAt time.Time
+	// backoffEnd is the end of the backoff after which the request is one of the first; zero if it is
+	// not.
+	backoffEnd time.Time
+	// answered is set once the head of the answer has arrived, and backoffAsked if that asked for a
+	// backoff.
+	answered, backoffAsked bool
 }
 
-// Begin returns an upstream to send to, once, or ErrLeaving, ErrEvacuated or ErrResting. It is asked right before each sending, whatever was known
-// when the upstream was chosen: what is sent then arrives within the 0.4 s that a connection takes at most, and so within the half second
-// that the platform allows after an answer that asks for rest. The caller must call End.
+// Begin returns the target for one request to an upstream, or ErrLeaving, ErrEvacuated or ErrBackoff.
+// It is called right before each request, whatever was known when the upstream was chosen. The request
+// then arrives within the 0.4 s that a connection takes at most, and so within the half second that the
+// platform allows after an answer that asks for a backoff. The caller must call End.
 func (d *Directory) Begin(upstream *Upstream) (*Endpoint, error) {
 	d.mu.RLock()
-	known, isKnown := d.told[upstream.ID]
+	known, isKnown := d.notices[upstream.ID]
 	evacuated := d.evacuated[upstream.Hall]
 	d.mu.RUnlock()
 	if isKnown && !known.leavingAt.IsZero() {
@@ -125,92 +132,93 @@
 	if evacuated {
 		return nil, ErrEvacuated
 	}
-	endpoint := &Endpoint{Upstream: *upstream, directory: d, begun: time.Now()}
+	endpoint := &Endpoint{Upstream: *upstream, directory: d, startedAt: time.Now()}
 	if isKnown {
 		var ok bool
-		if endpoint.after, ok = d.beginAfterRest(upstream.ID); !ok {
-			return nil, ErrResting
+		if endpoint.backoffEnd, ok = d.beginAfterBackoff(upstream.ID); !ok {
+			return nil, ErrBackoff
 		}
 	}
 	return endpoint, nil
 }
 
-// Told takes what an answer tells, as soon as its head is there, whatever becomes of the rest of it.
+// Told applies what an answer states. It is called as soon as the head of the answer has arrived,
+// whatever happens to the rest of the answer.
 func (e *Endpoint) Told(n Notice) {
-	e.answered, e.rested = true, n.Rest > 0
-	n.begun = e.begun
+	e.answered, e.backoffAsked = true, n.Rest > 0
+	n.requestStart = e.startedAt
 	n.Unlimited = n.Unlimited && e.directory.Limit(e.ID).Named()
 	if !n.empty() {
 		e.directory.Note(e.ID, n)
 	}
 }
 
-// AskedForRest reports whether the answer asked for rest.
-func (e *Endpoint) AskedForRest() bool { return e.rested }
+// AskedForRest reports whether the answer asked for a backoff.
+func (e *Endpoint) AskedForRest() bool { return e.backoffAsked }
 
-// End ends the sending, answered or not.
+// End ends the request, whether it was answered or not.
 func (e *Endpoint) End() {
-	if !e.after.IsZero() {
-		e.directory.endAfterRest(e.ID, e.after, e.answered && !e.rested)
+	if !e.backoffEnd.IsZero() {
+		e.directory.endAfterBackoff(e.ID, e.backoffEnd, e.answered && !e.backoffAsked)
 	}
 }
 
-// maxUnreadable bounds what is kept of a value that can't be read, in bytes, for its log line.
-const maxUnreadable = 40
+// maxUnreadableBytes bounds what is kept, for its log line, of a value that could not be parsed.
+const maxUnreadableBytes = 40
 
-// Note takes in a notice of an upstream, and calls OnNotice if it tells something new.
+// Note stores a notice of an upstream, and calls OnNotice if it states something new.
 func (d *Directory) Note(id string, n Notice) {
-	n.Unreadable = n.Unreadable[:min(len(n.Unreadable), maxUnreadable)]
-	if news := d.remember(id, n); !news.empty() && d.OnNotice != nil {
+	n.Unreadable = n.Unreadable[:min(len(n.Unreadable), maxUnreadableBytes)]
+	if news := d.storeNotice(id, n); !news.empty() && d.OnNotice != nil {
 		d.OnNotice(Noted{Notice: news, Upstream: id})
 	}
 }
 
-// remember stores a notice, and returns what is new of it: answers that were under way together tell the same.
-func (d *Directory) remember(id string, n Notice) (news Notice) {
+// storeNotice stores a notice, and returns what is new in it: concurrent answers may state the same.
+func (d *Directory) storeNotice(id string, n Notice) (news Notice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	known := d.told[id]
-	known.lastKnown = now
+	known := d.notices[id]
+	known.lastSeen = now
 	news = n
 	news.Leaving = n.Leaving && known.leavingAt.IsZero()
 	if n.Cold > 0 {
 		if time.Now().Before(d.cold[id].coldUntil) {
 			news.Cold = 0
 		}
-		d.noteCold(id, n.Cold)
+		d.setCold(id, n.Cold)
 	}
 	if news.Leaving {
 		known.leavingAt = now
 	}
 	if n.Rest > 0 {
-		known.rest = d.Rests.begin(now, n.Rest)
+		known.backoff = d.Rests.start(now, n.Rest)
 	}
-	news.Limit, news.Unlimited = known.takeLimit(now, n)
+	news.Limit, news.Unlimited = known.updateLimit(now, n)
 	if news.Limit != nil || news.Unlimited {
-		d.noteLimitChanged(id)
+		d.recordLimitChange(id)
 	}
 	if !news.Leaving && n.Rest <= 0 && n.Limit == nil && !news.Unlimited {
 		return news
 	}
-	d.told[id] = known
+	d.notices[id] = known
 	if state := d.states[id]; state != nil && !known.leavingAt.IsZero() && !state.Leaving {
-		left := *state
-		left.leave()
-		d.states[id] = &left
+		leaving := *state
+		leaving.setLeaving()
+		d.states[id] = &leaving
 		d.reindex(id)
 	}
 	return news
 }
 
-// LeavingByAnswer lists the upstreams that leave by what answers told, and whose entries do not say so yet. Other boxes, the one that
-// plans among them, learn it from this box. The list is in the order of ids.
+// LeavingByAnswer returns the upstreams that are leaving by what answers stated, but not yet by their
+// entries, sorted by id. Other boxes, including the one that plans, learn it from this box.
 func (d *Directory) LeavingByAnswer() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var ids []string
-	for id, known := range d.told {
+	for id, known := range d.notices {
 		if state := d.states[id]; state != nil && !known.leavingAt.IsZero() && !state.listedLeaving {
 			ids = append(ids, id)
 		}
@@ -219,8 +227,8 @@
 	return ids
 }
 
-// NoteLeaving takes in which upstreams leave by what another box was told. Those that this box does not know are left out: the other box
-// tells of them again.
+// NoteLeaving records which upstreams are leaving by what answers stated to another box. It skips those
+// that this box does not know: the other box reports them again.
 func (d *Directory) NoteLeaving(ids []string) {
 	for _, id := range ids {
 		if state := d.Get(id); state != nil && !state.Leaving {
@@ -229,48 +237,52 @@
 	}
 }
 
-// Against is what a sending to an upstream would go against at this moment.
+// Against is what a request sent to an upstream at this moment would disregard.
 type Against struct {
-	// LeavingFor is since when this box has known that it leaves; 0 if it does not.
+	// LeavingFor is how long this box has known that the upstream is leaving; 0 if it does not.
 	LeavingFor time.Duration
-	// RestLeft is how much of the rest is left that it asked for; 0 if it asked for none or that is over.
+	// RestLeft is the remaining time of the backoff that it asked for; 0 if it asked for none or that
+	// is over.
 	RestLeft time.Duration
-	// Limit is the limit that it names.
+	// Limit is the rate limit that it names.
 	Limit Limit
 }
 
-// Against returns what a sending to an upstream goes against.
+// Against returns what a request sent to an upstream now would disregard.
 func (d *Directory) Against(id string) Against {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	known, ok := d.told[id]
+	known, ok := d.notices[id]
 	if !ok {
 		return Against{}
 	}
 	now := time.Now()
-	against := Against{RestLeft: max(0, known.rest.until.Sub(now)), Limit: known.limit}
+	against := Against{RestLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
 	if !known.leavingAt.IsZero() {
 		against.LeavingFor = max(1, now.Sub(known.leavingAt))
 	}
 	return against
 }
 
-// Any reports whether it goes against anything. A limit allows some sendings.
+// Any reports whether the request would disregard anything. A limit does not count, since it allows
+// some requests.
 func (a Against) Any() bool { return a.LeavingFor > 0 || a.RestLeft > 0 }
 
-// toldMemory is for how long what an upstream told is kept while no list has it. A list of a store that was away may have lost entries
-// that come back; afterwards an id is not seen again. Well above the outages that the platform names.
-const toldMemory = 5 * time.Minute
+// noticeRetention is how long the notices of an upstream are kept while no list has it. After an outage
+// of the store, its list may lack entries that come back later; after that time an id is not seen
+// again. The value is well above the outages that the platform names.
+const noticeRetention = 5 * time.Minute
 
-// expireTold forgets what upstreams told that are gone, and rests that are over. The caller holds the lock.
-func (d *Directory) expireTold(now time.Time) {
-	for id, known := range d.told {
+// expireNotices drops the notices of upstreams that are gone, and those that are no longer in force.
+// The caller holds the lock.
+func (d *Directory) expireNotices(now time.Time) {
+	for id, known := range d.notices {
 		if d.states[id] != nil {
-			known.lastKnown = now
-			d.told[id] = known
+			known.lastSeen = now
+			d.notices[id] = known
 		}
-		if now.Sub(known.lastKnown) > toldMemory || known.leavingAt.IsZero() && known.rest.over(now) && !known.limit.Named() && now.Sub(known.limit.At) > limitMemory {
-			delete(d.told, id)
+		if now.Sub(known.lastSeen) > noticeRetention || known.leavingAt.IsZero() && known.backoff.ended(now) && !known.limit.Named() && now.Sub(known.limit.At) > endedLimitRetention {
+			delete(d.notices, id)
 		}
 	}
 }
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -10,7 +10,7 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-var _ = Describe("what an upstream tells in its answers", func() {
+var _ = Describe("what an upstream states in its answers", func() {
 	entry := func(id string, revision int64) Upstream {
 		return Upstream{ID: id, Service: "s", Hall: "h", Address: "10.0.0.1:80", Revision: revision}
 	}
@@ -19,7 +19,7 @@
 		d.SetList(1, list, time.Now())
 		return d
 	}
-	// send makes one sending whose answer tells something.
+	// send sends one request whose answer has a notice.
 	send := func(d *Directory, id string, n Notice) error {
 		to, err := d.Begin(d.Get(id).Upstream)
 		if err != nil {
@@ -30,7 +30,7 @@
 		return nil
 	}
 
-	It("makes it leave at once, and no list or residency takes that back", func() {
+	It("makes it leave at once, and no list or residency revokes that", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Leaving: true})).To(Succeed())
@@ -44,7 +44,7 @@
 		})
 	})
 
-	It("is news once, also where answers that were under way together tell it", func() {
+	It("is reported once, also where concurrent answers state it", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			var kinds [][]string
@@ -68,14 +68,14 @@
 			d.SetList(3, []Upstream{entry("a", 3)}, time.Now())
 			Expect(d.Get("a").Leaving).To(BeTrue())
 			d.SetList(4, nil, time.Now())
-			time.Sleep(toldMemory + time.Minute)
+			time.Sleep(noticeRetention + time.Minute)
 			d.DropLapsed()
 			d.ExpireMarks()
-			Expect(d.told).To(BeEmpty())
+			Expect(d.notices).To(BeEmpty())
 		})
 	})
 
-	It("is one life's: one that starts again under its name is free of it, and late answers to the former do not bind it", func() {
+	It("belongs to one incarnation: a restart under its name is free of it, and late answers of the former do not bind the new one", func() {
 		spectest.Bubble(func() {
 			first, next := IncarnationID("a", 1000), IncarnationID("a", 2000)
 			d := listed(entry(first, 1))
@@ -91,7 +91,7 @@
 		})
 	})
 
-	It("is told to other boxes until the list has it, and counts there for upstreams that they list", func() {
+	It("is reported to other boxes until the list has it, and counts there for upstreams that they list", func() {
 		spectest.Bubble(func() {
 			d, other := listed(entry("a", 1)), listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Leaving: true})).To(Succeed())
@@ -104,7 +104,7 @@
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Source).To(Equal(SourceBox))
 			Expect(other.Get("a").Leaving).To(BeTrue())
-			Expect(other.told).To(HaveLen(1))
+			Expect(other.notices).To(HaveLen(1))
 			leaving := entry("a", 2)
 			leaving.Leaving = true
 			d.SetList(2, []Upstream{leaving}, time.Now())
@@ -112,24 +112,24 @@
 		})
 	})
 
-	It("keeps requests away for the rest that it asks for, from the answer on", func() {
+	It("keeps requests away for the backoff that it asks for, from the answer on", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Rest: 3 * time.Second})).To(Succeed())
 			time.Sleep(3*time.Second - time.Nanosecond)
-			Expect(send(d, "a", Notice{})).To(MatchError(ErrResting))
+			Expect(send(d, "a", Notice{})).To(MatchError(ErrBackoff))
 			time.Sleep(time.Nanosecond)
 			Expect(send(d, "a", Notice{})).To(Succeed())
 		})
 	})
 
-	DescribeTable("does no harm with a rest beyond measure", func(asked time.Duration) {
+	DescribeTable("bounds a backoff that is far too long", func(asked time.Duration) {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Rest: asked})).To(Succeed())
 			until, _ := d.Resting("a")
-			Expect(time.Until(until)).To(BeNumerically("<=", d.Rests.Longest))
-			time.Sleep(d.Rests.Longest)
+			Expect(time.Until(until)).To(BeNumerically("<=", d.Rests.Max))
+			time.Sleep(d.Rests.Max)
 			Expect(send(d, "a", Notice{})).To(Succeed())
 		})
 	},
@@ -137,7 +137,7 @@
 		Entry("of the longest duration", time.Duration(math.MaxInt64)),
 	)
 
-	It("is taken back to few at a time after a rest, twice as many with each answer, and at once rests again", func() {
+	It("gets few requests at a time after a backoff, twice as many with each answer, and none once it asks for another", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Rest: time.Second})).To(Succeed())
@@ -145,7 +145,7 @@
 			begun := func() (list []*Endpoint) {
 				for {
 					to, err := d.Begin(d.Get("a").Upstream)
-					if err != nil || len(list) > wideWindow {
+					if err != nil || len(list) > unlimitedWindow {
 						return list
 					}
 					list = append(list, to)
@@ -166,7 +166,7 @@
 			Expect(len(list)).To(BeNumerically(">", 8))
 			end(list[:1], Notice{Rest: time.Second})
 			Expect(begun()).To(BeEmpty())
-			end(list[1:], Notice{}) // Answers to what was under way do not end the new rest.
+			end(list[1:], Notice{}) // Answers to concurrent requests do not end the new backoff.
 			time.Sleep(time.Second)
 			Expect(begun()).To(HaveLen(1))
 		})
--- a/pkg/fleet/ratebound.go
+++ b/pkg/fleet/ratebound.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// RateBound is what bounds the requests of all boxes to an upstream, as far as this box knows.
+// RateBound is what bounds the rate of all boxes' requests to an upstream, as far as this box knows.
 type RateBound struct {
-	// Cold means that it is cold, or may be.
+	// Cold means that the upstream is cold, or may be.
 	Cold bool
-	// Limit is the limit that it names.
+	// Limit is the rate limit that the upstream names.
 	Limit Limit
-	// HeldUntil is until when this box must not ask to send there; zero, or past, and it may.
+	// HeldUntil is until when this box must not ask to send there; it may ask if the time is zero or
+	// has passed.
 	HeldUntil time.Time
 }
 
-// Any reports whether there is a bound.
+// Any reports whether the rate is bounded.
 func (b RateBound) Any() bool { return b.Cold || b.Limit.Named() }
 
-// RateBound returns what bounds the requests to an upstream, where the engines of its service are cold for a time after a start.
-func (d *Directory) RateBound(id string, start time.Duration) RateBound {
+// RateBound returns what bounds the rate of requests to an upstream. coldStart is how long engines of
+// its service are cold after a start.
+func (d *Directory) RateBound(id string, coldStart time.Duration) RateBound {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	bound := RateBound{Cold: d.isCold(id, start), Limit: d.told[id].limit}
+	bound := RateBound{Cold: d.isCold(id, coldStart), Limit: d.notices[id].limit}
 	if bound.Any() {
-		bound.HeldUntil = d.heldBack[id]
+		bound.HeldUntil = d.deferredUntil[id]
 	}
 	return bound
 }
 
-// HoldBack has this box send a bounded upstream nothing until a time, as its keeper told.
+// HoldBack defers this box's requests to a rate-bounded upstream until the time that the upstream's
+// keeper named. The keeper is the box that grants the requests of all boxes to it.
 func (d *Directory) HoldBack(id string, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heldBack[id] = until
+	d.deferredUntil[id] = until
 }
 
-// expireHeldBack forgets what is over. The caller holds the lock.
-func (d *Directory) expireHeldBack(now time.Time) {
-	for id, until := range d.heldBack {
+// expireDeferred drops the deferrals that are over. The caller holds the lock.
+func (d *Directory) expireDeferred(now time.Time) {
+	for id, until := range d.deferredUntil {
 		if now.After(until) {
-			delete(d.heldBack, id)
+			delete(d.deferredUntil, id)
 		}
 	}
 }
--- a/pkg/fleet/rest.go
+++ b/pkg/fleet/rest.go
@@ -2,90 +2,98 @@
 
 import "time"
 
-// Rests is how boxes keep the rests that upstreams ask them for.
+// Rests sets how boxes apply the backoffs that upstreams ask for. Logs and messages call a backoff a
+// rest.
 type Rests struct {
-	// Longest is the longest rest that is kept; what asks for more is asked again then, by one request.
-	Longest time.Duration
-	// Window is how many requests of this box may await an answer at first when the rest is over; it doubles with each answer. 0 is any
-	// number.
+	// Max bounds a backoff. An upstream that asked for a longer one is tried again at that time, by one
+	// request.
+	Max time.Duration
+	// Window is how many requests of this box may await an answer at first when the backoff is over. It
+	// doubles with each answer; 0 sets no bound.
 	Window int
-	// ReturnSpread is by how much later than its end callers come back at most that were refused because of it, by chance.
+	// ReturnSpread is the largest random delay after the end of a backoff until callers that were
+	// refused because of it come back.
 	ReturnSpread time.Duration
 }
 
-// DefaultRests is the rule in use: engines that all asked for rest at once are not sent all that waited in the same moment. What asks for
-// more than Longest is asked again by one request.
-var DefaultRests = Rests{Longest: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
+// DefaultRests is the policy in use. It keeps engines that all asked for a backoff at once from getting
+// all waiting requests at the same moment. An upstream that asked for more than Max is tried again by
+// one request.
+var DefaultRests = Rests{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
 
-// wideWindow is the window from which on nothing is held back any more: above the slots of engines.
-const wideWindow = 64
+// unlimitedWindow is the window from which on requests are not restricted any more: more than the slots
+// of engines.
+const unlimitedWindow = 64
 
-// rest is one rest of an upstream and the return from it.
-type rest struct {
+// backoff is one backoff of an upstream, and the gradual return from it.
+type backoff struct {
 	// until is its end; zero if there is none.
 	until time.Time
-	// window is how many sendings may await an answer then; 0 is any number. awaiting is how many do.
-	window, awaiting int
+	// window is how many requests may await an answer after that; 0 sets no bound. inFlight is how many
+	// do.
+	window, inFlight int
 }
 
-// begin returns a rest that begins now.
-func (r Rests) begin(now time.Time, asked time.Duration) rest {
-	return rest{until: now.Add(min(asked, r.Longest)), window: r.Window}
+// start returns a backoff that begins now.
+func (r Rests) start(now time.Time, asked time.Duration) backoff {
+	return backoff{until: now.Add(min(asked, r.Max)), window: r.Window}
 }
 
-// over reports whether nothing is held back any more.
-func (r *rest) over(now time.Time) bool { return !now.Before(r.until) && r.window == 0 }
+// ended reports whether requests are not restricted any more.
+func (r *backoff) ended(now time.Time) bool { return !now.Before(r.until) && r.window == 0 }
 
-// holdsBack reports whether a sending must wait.
-func (r *rest) holdsBack(now time.Time) bool {
-	return now.Before(r.until) || r.window > 0 && r.awaiting >= r.window
+// mustWait reports whether a request must wait.
+func (r *backoff) mustWait(now time.Time) bool {
+	return now.Before(r.until) || r.window > 0 && r.inFlight >= r.window
 }
 
-// beginAfterRest counts a sending to an upstream that comes back from a rest, and returns the end of that; zero if it is not counted.
-// It is false if the sending must wait.
-func (d *Directory) beginAfterRest(id string) (after time.Time, ok bool) {
+// beginAfterBackoff counts a request to an upstream that returns from a backoff, and returns the end of
+// that backoff; zero if the request is not counted. It returns false if the request must wait.
+func (d *Directory) beginAfterBackoff(id string) (end time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known, isKnown := d.told[id]
+	known, isKnown := d.notices[id]
 	switch {
 	case !isKnown:
 		return time.Time{}, true
-	case known.rest.holdsBack(time.Now()):
+	case known.backoff.mustWait(time.Now()):
 		return time.Time{}, false
-	case known.rest.window == 0:
+	case known.backoff.window == 0:
 		return time.Time{}, true
 	}
-	known.rest.awaiting++
-	d.told[id] = known
-	return known.rest.until, true
+	known.backoff.inFlight++
+	d.notices[id] = known
+	return known.backoff.until, true
 }
 
-// endAfterRest counts the end of a sending that was counted after a rest; one that was answered without a new rest opens the window.
-func (d *Directory) endAfterRest(id string, after time.Time, answered bool) {
+// endAfterBackoff counts the end of a request that was counted after a backoff. If it was answered
+// without a new backoff, the window doubles.
+func (d *Directory) endAfterBackoff(id string, end time.Time, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known, ok := d.told[id]
-	if !ok || !known.rest.until.Equal(after) || known.rest.window == 0 {
+	known, ok := d.notices[id]
+	if !ok || !known.backoff.until.Equal(end) || known.backoff.window == 0 {
 		return
 	}
-	known.rest.awaiting--
+	known.backoff.inFlight--
 	if answered {
-		known.rest.window *= 2
+		known.backoff.window *= 2
 	}
-	if known.rest.window >= wideWindow {
-		known.rest.window, known.rest.awaiting = 0, 0
+	if known.backoff.window >= unlimitedWindow {
+		known.backoff.window, known.backoff.inFlight = 0, 0
 	}
-	d.told[id] = known
+	d.notices[id] = known
 }
 
-// Resting reports whether this box must keep requests away from an upstream that asked for rest, and until when; a time that has passed
-// means that it comes back with few requests at a time.
+// Resting reports whether this box must send no request to an upstream that asked for a backoff, and
+// returns the end of the backoff. An end that has passed means that the upstream takes only few
+// requests at a time.
 func (d *Directory) Resting(id string) (until time.Time, resting bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	known, ok := d.told[id]
+	known, ok := d.notices[id]
 	if !ok {
 		return time.Time{}, false
 	}
-	return known.rest.until, known.rest.holdsBack(time.Now())
+	return known.backoff.until, known.backoff.mustWait(time.Now())
 }
--- a/pkg/fleet/upstream.go
+++ b/pkg/fleet/upstream.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Upstream is an engine or plain service as its entry in the list describes it. It does not change
-// once listed.
+// Upstream describes one process of an engine or of a plain service, as its entry in the list states
+// it. It does not change once listed.
 type Upstream struct {
-	// ID names one life of the upstream; see IncarnationID.
+	// ID identifies one incarnation of the upstream; see IncarnationID.
 	ID      string
 	Service string
 	// Address is IP:PORT.
 	Address string
 	Hall    string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it processes at once.
 	Slots int
-	// Leaving upstreams get nothing new.
+	// Leaving means that the process is about to end; nothing new is sent to it.
 	Leaving bool
-	// Notice is how long after its entry was written a leaving upstream ends; 0 if it gave none.
+	// Notice is the time from the write of a leaving upstream's entry to the end of its process; 0 if
+	// it gave none.
 	Notice time.Duration
-	// Cold is for how long an engine is cold from when its entry was written; 0 if it is not.
+	// Cold is how long an engine stays cold after its entry was written; 0 if it is not cold.
 	Cold time.Duration
-	// Models that it holds, with their adapters.
+	// Models are the models that the engine holds, with their adapters.
 	Models []Holding
-	// InMemory and OnDisk name the models of which the engine keeps a copy there. A load from a copy is
-	// faster than one from the weight store and does not count as one.
+	// InMemory and OnDisk name the models of which the engine keeps a copy in memory or on disk.
+	// Loading from a copy is faster than loading from the weight store, and does not count as a load
+	// from the store.
 	InMemory []string
 	OnDisk   []string
-	// Revision is the store's revision at which the entry was written.
+	// Revision is the store revision at which the entry was written.
 	Revision int64
 }
 
-// Holding is a model that an engine holds.
+// Holding is a model that an engine holds, with its loaded adapters.
 type Holding struct {
 	Model    string
 	Adapters []string
