--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -103,7 +103,7 @@
 	lastSeen time.Time
 }
 
-// Endpoint is the target of one request to one incarnation of an upstream, from Begin to End.
+// Endpoint is the target of one attempt at one incarnation of an upstream, from Begin to End.
 type Endpoint struct {
 	Upstream
 
@@ -117,8 +117,8 @@
 	answered, backoffAsked bool
 }
 
-// Begin returns the target for one request to an upstream, or ErrLeaving, ErrEvacuated or ErrBackoff.
-// It is called right before each request, whatever was known when the upstream was chosen. The request
+// Begin returns the target for one attempt at an upstream, or ErrLeaving, ErrEvacuated or ErrBackoff.
+// It is called right before each attempt, whatever was known when the upstream was chosen. The request
 // then arrives within the 0.4 s that a connection takes at most, and so within the half second that the
 // platform allows after an answer that asks for a backoff. The caller must call End.
 func (d *Directory) Begin(upstream *Upstream) (*Endpoint, error) {
@@ -156,7 +156,7 @@
 // AskedForRest reports whether the answer asked for a backoff.
 func (e *Endpoint) AskedForRest() bool { return e.backoffAsked }
 
-// End ends the request, whether it was answered or not.
+// End ends the attempt, whether it was answered or not.
 func (e *Endpoint) End() {
 	if !e.backoffEnd.IsZero() {
 		e.directory.endAfterBackoff(e.ID, e.backoffEnd, e.answered && !e.backoffAsked)
