--- a/pkg/routing/bench_test.go
+++ b/pkg/routing/bench_test.go
@@ -9,7 +9,7 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// BenchmarkPick measures one choice among so many engines that hold the model.
+// BenchmarkPick measures one choice among 2, 8 and 32 engines that hold the model.
 func BenchmarkPick(b *testing.B) {
 	prompt := strings.Repeat("a thesis against its sources ", 140)
 	for _, candidates := range []int{2, 8, 32} {
--- a/pkg/routing/budget.go
+++ b/pkg/routing/budget.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// retryBurst bounds the retries that are saved up, of the share and of the floor each.
+	// retryBurst bounds the retries that are saved up, of the share and of the minimum each.
 	retryBurst = 10
-	// retryFloor is the retries a second that are allowed beside the share.
-	retryFloor = 1
+	// minRetriesPerSecond is how many retries a second are allowed in addition to the share.
+	minRetriesPerSecond = 1
 )
 
 // RetryBudget bounds a box's retries to a share of its requests, so that a failing upstream does not
 // multiply the load. It is safe for concurrent use.
 //
-// The retry budget of internal/gateway follows another rule: the node's bound is set for each
-// service over the whole fleet, so that a box has its part of it and no floor of its own. Here the
-// bound is one for all that a box sends, and a quiet box may always retry a little.
+// The retry budget of internal/gateway follows another rule: the node's bound is set for each service
+// over the whole fleet, so that a box has its part of it and no minimum of its own. Here one bound
+// covers all that a box sends, and a box with few requests may always make a few retries.
 type RetryBudget struct {
-	// share of requests that may be retried.
+	// share is the share of requests that may be retried.
 	share float64
 
-	mu     sync.Mutex
-	tokens float64
-	floor  *rate.Limiter
+	mu      sync.Mutex
+	tokens  float64
+	minimum *rate.Limiter
 }
 
 // NewRetryBudget returns a budget for a share of requests, such as 0.1.
 func NewRetryBudget(share float64) *RetryBudget {
-	return &RetryBudget{share: share, floor: rate.NewLimiter(retryFloor, retryBurst)}
+	return &RetryBudget{share: share, minimum: rate.NewLimiter(minRetriesPerSecond, retryBurst)}
 }
 
 // Request records a request's first attempt.
@@ -49,5 +49,5 @@
 		b.tokens--
 		return true
 	}
-	return b.floor.AllowN(time.Now(), 1)
+	return b.minimum.AllowN(time.Now(), 1)
 }
--- a/pkg/routing/doc.go
+++ b/pkg/routing/doc.go
@@ -1,11 +1,11 @@
-// Package routing chooses the upstream of a request of `ospreymoor serve`, the native way.
+// Package routing chooses the upstream of a request in `ospreymoor serve`, the native mode.
 //
-// It estimates the wait for a slot from an engine's latest report and from what this box and its
-// peers have sent there since, as reports lag behind. An engine that has the prompt's prefix cached
-// is preferred as long as that costs less than waiting there. The package owns what this box sent
-// and measured, the index of cached prefixes and the retry budget; internal/box hands in the
+// It estimates the wait for a slot from an engine's latest report and from what this box and its peers
+// have sent there since, because reports lag behind. An engine that has the prompt's prefix cached is
+// preferred as long as that saves more than waiting there costs. The package owns what this box sent
+// and measured, the index of cached prefixes and the retry budget; internal/box supplies the
 // candidates.
 //
-// `ospreymoor node` has pkg/dispatch instead, which predicts the time to the first token and knows
-// no reports of engines, and a retry budget of its own in internal/gateway.
+// `ospreymoor node` has pkg/dispatch instead, which predicts the time to the first token and knows no
+// reports of engines, and a retry budget of its own in internal/gateway.
 package routing
--- a/pkg/routing/example_test.go
+++ b/pkg/routing/example_test.go
@@ -8,7 +8,7 @@
 )
 
 func ExampleRouter() {
-	router := routing.New(routing.Config{Service: time.Second})
+	router := routing.New(routing.Config{SlotTime: time.Second})
 	now := time.Now()
 	candidates := []routing.Candidate{
 		{ID: "e1", Slots: 2, Running: 2, Queued: 3, Reported: now},
--- a/pkg/routing/prefixes.go
+++ b/pkg/routing/prefixes.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// maxEntries bounds the blocks that are remembered.
-	maxEntries = 20_000
-	// blockBytes is the length of prompt that one block stands for.
+	// maxIndexedBlocks bounds the number of blocks that are remembered.
+	maxIndexedBlocks = 20_000
+	// blockBytes is the length of the part of a prompt that one block covers.
 	blockBytes = 256
-	// maxBlocks bounds how much of a prompt is looked at.
+	// maxBlocks bounds how many blocks of a prompt are considered.
 	maxBlocks = 16
 )
 
-// prefixIndex remembers the upstream that was sent each block of a prompt last; a block stands for
+// prefixIndex remembers the upstream that each block of a prompt was last sent to. A block stands for
 // the whole prefix up to its end.
 //
-// The prefix cache of pkg/dispatch follows another rule: it is one model of each engine's memory,
-// fed by all boxes, with the parts and tokens that requests bring. This one knows text only, and
+// The prefix cache of pkg/dispatch follows another rule: it is one model of each engine's memory, fed
+// by all boxes, with the parts and tokens that requests state. This index knows only text, and only
 // what this box sent.
 type prefixIndex struct {
-	last *lru.Cache[uint64, string]
+	lastUpstream *lru.Cache[uint64, string]
 }
 
 func newPrefixIndex() *prefixIndex {
-	last, err := lru.New[uint64, string](maxEntries)
+	lastUpstream, err := lru.New[uint64, string](maxIndexedBlocks)
 	if err != nil {
-		panic(err) // Only for a size that is not positive.
+		panic(err) // lru.New fails only for a size that is not positive.
 	}
-	return &prefixIndex{last: last}
+	return &prefixIndex{lastUpstream: lastUpstream}
 }
 
-// cachedShares returns the share of the prompt's blocks, from 0 to 1, that each upstream has
-// probably cached.
+// cachedShares returns, by upstream, the share of the prompt's blocks that it has probably cached, from
+// 0 to 1.
 func (p *prefixIndex) cachedShares(model, prompt string) map[string]float64 {
 	hashes := blockHashes(model, prompt)
 	shares := map[string]float64{}
 	for i, hash := range hashes {
-		upstream, ok := p.last.Get(hash)
+		upstream, ok := p.lastUpstream.Get(hash)
 		if !ok {
 			break
 		}
@@ -50,20 +50,21 @@
 // add records that an upstream was sent a prompt.
 func (p *prefixIndex) add(model, prompt, upstream string) {
 	for _, hash := range blockHashes(model, prompt) {
-		p.last.Add(hash, upstream)
+		p.lastUpstream.Add(hash, upstream)
 	}
 }
 
-// drop drops all blocks of an upstream.
+// drop removes all blocks of an upstream.
 func (p *prefixIndex) drop(upstream string) {
-	for _, hash := range p.last.Keys() {
-		if last, ok := p.last.Peek(hash); ok && last == upstream {
-			p.last.Remove(hash)
+	for _, hash := range p.lastUpstream.Keys() {
+		if last, ok := p.lastUpstream.Peek(hash); ok && last == upstream {
+			p.lastUpstream.Remove(hash)
 		}
 	}
 }
 
-// blockHashes returns one hash for each whole block of the prompt, each covering all before it.
+// blockHashes returns one hash for each whole block of the prompt, up to maxBlocks. Each covers the
+// model and all blocks up to its own.
 func blockHashes(model, prompt string) []uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -15,7 +15,7 @@
 
 func TestRouting(t *testing.T) { spectest.Run(t, "Routing") }
 
-// candidates returns engines of two slots with so many requests running.
+// candidates returns engines of two slots each, with the given numbers of running requests.
 func candidates(running ...int) []routing.Candidate {
 	var list []routing.Candidate
 	for i, n := range running {
@@ -24,8 +24,8 @@
 	return list
 }
 
-// picked counts which engines are picked in a hundred choices.
-func picked(router *routing.Router, prompt string, list []routing.Candidate) map[string]int {
+// countPicks counts which engines are picked in a hundred choices.
+func countPicks(router *routing.Router, prompt string, list []routing.Candidate) map[string]int {
 	counts := map[string]int{}
 	for range 100 {
 		choice, err := router.Pick("m", prompt, list)
@@ -55,7 +55,7 @@
 
 	It("spreads choices among engines that are about equal", func() {
 		spectest.Bubble(func() {
-			counts := picked(router, "", candidates(0, 1, 0, 2))
+			counts := countPicks(router, "", candidates(0, 1, 0, 2))
 			Expect(counts).To(HaveLen(3))
 			Expect(counts).NotTo(HaveKey("e3"))
 		})
@@ -67,21 +67,21 @@
 			list[0].PeersSent = 1
 			time.Sleep(time.Millisecond)
 			router.Sent("m", "", "e0")
-			Expect(picked(router, "", list)).To(Equal(map[string]int{"e1": 100}))
-			// A newer report includes what was sent before, except that this box's own still run.
-			Expect(picked(router, "", candidates(0, 0))).To(HaveLen(2))
+			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e1": 100}))
+			// A newer report includes what was sent before, but this box's own request is still in flight.
+			Expect(countPicks(router, "", candidates(0, 0))).To(HaveLen(2))
 		})
 	})
 
-	It("takes other boxes to be as busy as itself where reports are stale", func() {
+	It("assumes that other boxes have as many requests in flight as this one where reports are stale", func() {
 		spectest.Bubble(func() {
 			list := candidates(9, 0)
 			list[0].Boxes, list[1].Boxes = 4, 4
 			router.Sent("m", "", "e1")
 			time.Sleep(10 * time.Second)
-			Expect(picked(router, "", list)).To(Equal(map[string]int{"e1": 100}))
+			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e1": 100}))
 			time.Sleep(time.Nanosecond)
-			Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e0": 100}))
 		})
 	})
 
@@ -89,11 +89,11 @@
 		spectest.Bubble(func() {
 			prompt := strings.Repeat("x", 1024)
 			router.Sent("m", prompt, "e0")()
-			Expect(picked(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
-			Expect(picked(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
-			Expect(picked(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
+			Expect(countPicks(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
+			Expect(countPicks(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
+			Expect(countPicks(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
 			router.DropPrefixes("e0")
-			Expect(picked(router, prompt, candidates(0, 0))).To(HaveLen(2))
+			Expect(countPicks(router, prompt, candidates(0, 0))).To(HaveLen(2))
 		})
 	})
 
@@ -101,17 +101,17 @@
 		spectest.Bubble(func() {
 			list := candidates(0, 0)
 			list[1].Distance = 5 * time.Millisecond
-			Expect(picked(router, "", list)).To(Equal(map[string]int{"e0": 100}))
+			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e0": 100}))
 		})
 	})
 
-	It("avoids an engine that failed for a while, unless there is no other", func() {
+	It("avoids a failed engine for a while, unless there is no other", func() {
 		spectest.Bubble(func() {
 			router.Failed("e0", time.Second)
-			Expect(picked(router, "", candidates(0, 9))).To(Equal(map[string]int{"e1": 100}))
-			Expect(picked(router, "", candidates(0))).To(Equal(map[string]int{"e0": 100}))
+			Expect(countPicks(router, "", candidates(0, 9))).To(Equal(map[string]int{"e1": 100}))
+			Expect(countPicks(router, "", candidates(0))).To(Equal(map[string]int{"e0": 100}))
 			time.Sleep(time.Second)
-			Expect(picked(router, "", candidates(0, 9))).To(Equal(map[string]int{"e0": 100}))
+			Expect(countPicks(router, "", candidates(0, 9))).To(Equal(map[string]int{"e0": 100}))
 		})
 	})
 
@@ -121,19 +121,19 @@
 			router.Sent("m", "", "e0")()
 			router.Sent("m", "", "e1")
 			Expect(router.Totals()).To(Equal(map[string]int64{"e0": 2, "e1": 1}))
-			gone := func(string) bool { return false }
-			router.Forget(gone)
+			keepNone := func(string) bool { return false }
+			router.Forget(keepNone)
 			Expect(router.Totals()).To(HaveLen(2))
 			first()
 			first()
-			router.Forget(gone)
+			router.Forget(keepNone)
 			Expect(router.Totals()).To(Equal(map[string]int64{"e1": 1}))
 		})
 	})
 })
 
 var _ = Describe("a retry budget", func() {
-	// allowed asks for so many retries and counts those that are within the budget.
+	// allowed asks for a number of retries and returns how many the budget allows.
 	allowed := func(budget *routing.RetryBudget, asked int) int {
 		n := 0
 		for range asked {
@@ -144,10 +144,10 @@
 		return n
 	}
 
-	It("allows a share of requests and a few a second beside", func() {
+	It("allows retries of a share of requests, and a few a second in addition", func() {
 		spectest.Bubble(func() {
 			budget := routing.NewRetryBudget(0.1)
-			// The floor's burst.
+			// The burst of the minimum.
 			Expect(allowed(budget, 100)).To(Equal(10))
 			for range 45 {
 				budget.Request()
@@ -158,7 +158,7 @@
 		})
 	})
 
-	It("saves up a few retries only", func() {
+	It("saves up only a few retries", func() {
 		spectest.Bubble(func() {
 			budget := routing.NewRetryBudget(0.1)
 			for range 1000 {
