--- a/pkg/routes/routes.go
+++ b/pkg/routes/routes.go
@@ -1,9 +1,10 @@
-// Package routes is the versioned route table: which service answers a request, what of it may be
-// retried, and within which limits.
+// Package routes is the versioned route table: which service answers a request, how often it may run,
+// and within which limits.
 //
-// It owns the matching of a request with its route, and the split of a route's requests over services; the
-// customers of a version (pkg/customers) stand in its table. The table is decoded elsewhere and does not change once made. `ospreymoor
-// node` uses it. In `ospreymoor serve` the bundle of a customer (pkg/bundle) has that role.
+// It matches a request with its route, and splits a route's requests over services. A table also
+// holds the customers of its version (pkg/customers). It is decoded in other packages, and does not
+// change once made. `ospreymoor node` uses it. In `ospreymoor serve` the bundle of a customer
+// (pkg/bundle) has that role.
 package routes
 
 import (
@@ -16,7 +17,7 @@
 	"ospreymoor.example/ospreymoor/pkg/customers"
 )
 
-// Kind is what may be retried of a request.
+// Kind states how often a request may run.
 type Kind int
 
 // The kinds of request.
@@ -36,29 +37,30 @@
 	Weight int
 }
 
-// Route is how the requests below one path of one host are served.
+// Route states how the requests to one host, below one path, are served.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Resumable streams may resume at another upstream after the last event that arrived.
+	// Resumable means that a stream may resume at another upstream after the last event that arrived.
 	Resumable bool
-	// Timeout is the longest time that a request is held; 0 is no bound.
+	// Timeout is the longest time that a request is held; 0 sets no bound.
 	Timeout time.Duration
-	// Target is the longest good time to the answer, or to a stream's first event; 0 for no target.
+	// Target is the longest acceptable time to the answer, or to a stream's first event; 0 sets no
+	// target.
 	Target time.Duration
-	// GapTarget is the longest good pause between two events of a stream; 0 sets no target.
+	// GapTarget is the longest acceptable gap between two events of a stream; 0 sets no target.
 	GapTarget time.Duration
 	// MaxAttempts is the largest number of attempts of one request that may run. An attempt that its
 	// upstream did not execute does not count.
 	MaxAttempts int
-	// Urgency ranks routes; 0 is the most urgent, and a negative one counts as 0.
+	// Urgency ranks routes; 0 is the most urgent, and a negative value counts as 0.
 	Urgency int
 	Shares  []Share
-	// Public routes ask for no key.
+	// Public means that requests need no key.
 	Public bool
-	// Regions in which requests of the route may be served.
+	// Regions are those in which requests of the route may be served.
 	Regions customers.Regions
 }
 
@@ -67,9 +69,9 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// PickService returns the service that a request goes to; empty if no share has a weight. point is a number
-// that is spread evenly over requests and the same for every attempt of one.
-func (r *Route) PickService(point uint64) string {
+// PickService returns the service that a request goes to; "" if no share has a weight. hash is evenly
+// distributed over requests, and the same for every attempt of one request.
+func (r *Route) PickService(hash uint64) string {
 	total := 0
 	for _, share := range r.Shares {
 		total += share.Weight
@@ -77,18 +79,18 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(point % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, share := range r.Shares {
-		if at < share.Weight {
+		if offset < share.Weight {
 			return share.Service
 		}
-		at -= share.Weight
+		offset -= share.Weight
 	}
 	return ""
 }
 
-// Limits bound what callers may send; a zero is no bound. The bounds of headers are those of gateway.Front
-// in every version of the configuration.
+// Limits bounds what callers may send; 0 sets no bound. The bounds of headers are those of
+// gateway.Front in every version of the configuration.
 type Limits struct {
 	MaxBodyBytes int64
 	// IdleTimeout is how long a connection may be idle.
@@ -102,10 +104,10 @@
 	Routes   []Route
 	Services map[string]*Service
 	Limits   Limits
-	// Customers of this version; nil if it has none, and nobody is asked for a key.
+	// Customers holds the customers of this version; nil if it has none, and then requests need no key.
 	Customers *customers.Directory
 
-	// byHost is the routes of each host in lower case, those with the longest prefixes first.
+	// byHost holds the routes of each host in lower case, the longest prefixes first.
 	byHost map[string][]*Route
 }
 
@@ -130,18 +132,18 @@
 	}
 	for i := range services {
 		service := &services[i]
-		service.index()
+		service.indexModels()
 		t.Services[service.Name] = service
 	}
 	return t
 }
 
-// Match returns the route of a host with the longest prefix that begins path; nil if there is none. The
-// host may have a port and letters of any case. Of two routes with the same prefix, the first in the
-// configuration matches.
+// Match returns the route of a host with the longest prefix that path begins with; nil if there is
+// none. The host may have a port, and letters of any case. Of two routes with the same prefix, the
+// first in the configuration matches.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
-		host = name // Without a port, SplitHostPort fails and the host is taken as it is.
+		host = name // Without a port, SplitHostPort fails and the host is used as it is.
 	}
 	for _, route := range t.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
--- a/pkg/routes/routes_test.go
+++ b/pkg/routes/routes_test.go
@@ -33,11 +33,11 @@
 		Entry("another host", "b.example", "/x/y/z", ""),
 	)
 
-	It("takes a negative urgency for the most urgent", func() {
+	It("treats a negative urgency as the most urgent", func() {
 		Expect(routes.New(1, []routes.Route{{Urgency: -3}}, nil, routes.Limits{}).Routes[0].Urgency).To(BeZero())
 	})
 
-	It("knows its services' models", func() {
+	It("finds the models of its services", func() {
 		Expect(table.Services["s"].Model("m")).NotTo(BeNil())
 		Expect(table.Services["s"].Model("n")).To(BeNil())
 	})
@@ -47,15 +47,15 @@
 	It("splits requests by weight and sends one request's attempts to one service", func() {
 		route := routes.Route{Shares: []routes.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 		counts := map[string]int{}
-		for point := range uint64(1000) {
-			counts[route.PickService(point)]++
-			Expect(route.PickService(point)).To(Equal(route.PickService(point)))
+		for hash := range uint64(1000) {
+			counts[route.PickService(hash)]++
+			Expect(route.PickService(hash)).To(Equal(route.PickService(hash)))
 		}
 		Expect(counts).To(Equal(map[string]int{"a": 900, "b": 100}))
 		Expect((&routes.Route{}).PickService(1)).To(BeEmpty())
 	})
 
-	It("knows what may run more than once", func() {
+	It("reports which requests may run more than once", func() {
 		Expect((&routes.Route{Kind: routes.Once}).Idempotent()).To(BeFalse())
 		Expect((&routes.Route{Kind: routes.Repeatable}).Idempotent()).To(BeTrue())
 		Expect((&routes.Route{Kind: routes.Stream}).Idempotent()).To(BeFalse())
