--- a/pkg/dispatch/services_test.go
+++ b/pkg/dispatch/services_test.go
@@ -18,7 +18,7 @@
 // plainService simulates a plain service with several upstreams of a few slots each, and boxes that exchange their
 // loads at an interval.
 type plainService struct {
-	boxes    int
+	boxes            int
 	exchangeInterval time.Duration
 	// perSecond is the request rate of all boxes together, and work how long each upstream works on a request.
 	perSecond float64
