--- a/pkg/customers/bench_test.go
+++ b/pkg/customers/bench_test.go
@@ -8,12 +8,12 @@
 	"ospreymoor.example/ospreymoor/pkg/customers"
 )
 
-// BenchmarkSpend takes one request's cost off the account of one of many customers.
+// BenchmarkSpend charges the cost of one request to the account of one of many customers.
 func BenchmarkSpend(b *testing.B) {
 	keeper := customers.NewKeeper(wide)
 	asks := make([]customers.Ask, 300)
 	for n := range asks {
-		asks[n] = customers.Ask{Customer: fmt.Sprint("c", n), Scope: customers.FleetScope, Limit: sizes[1].limit, Costs: []float64{9244}}
+		asks[n] = customers.Ask{Customer: fmt.Sprint("c", n), Scope: customers.FleetScope, Limit: profiles[1].limit, Costs: []float64{9244}}
 	}
 	now := time.Now()
 	b.ReportAllocs()
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkFind finds the customer of a field among 300 with two keys each.
+// BenchmarkFind finds the customer of a header field among 300 customers with two keys each.
 func BenchmarkFind(b *testing.B) {
 	list := make([]customers.Customer, 300)
 	for n := range list {
--- a/pkg/customers/credential_test.go
+++ b/pkg/customers/credential_test.go
@@ -59,7 +59,7 @@
 		Expect(customer.Name).To(Equal("c"))
 	})
 
-	It("asks nobody for a key where no customers are configured, and everybody where the list is empty", func() {
+	It("requires no key if no customers are configured, but requires one if the list is empty", func() {
 		var none *customers.Directory
 		customer, rejected := none.Find(customers.ReadCredential(nil))
 		Expect(customer).To(BeNil())
@@ -70,7 +70,7 @@
 	})
 })
 
-// FuzzCredential reads fields of callers: only a single key of the form that is asked for names a customer.
+// FuzzCredential parses header fields of callers: only a single key of the required form may identify a customer.
 func FuzzCredential(f *testing.F) {
 	for _, seed := range []string{"Bearer key", "bearer  key", "Basic key", "Bearer", "Bearer key,", "\x00", "Bearer \x00"} {
 		f.Add(seed)
--- a/pkg/customers/customer.go
+++ b/pkg/customers/customer.go
@@ -1,43 +1,43 @@
 package customers
 
-// Customer is one customer of a version of the configuration.
+// Customer is a customer as configured in one version of the configuration.
 type Customer struct {
 	Name string
-	// Keys name the customer; a customer without keys asks for nothing.
+	// Keys identify the customer's requests; a customer without keys can't send any.
 	Keys []Digest
-	// Urgency goes before that of a route, 0 first; nil leaves the route's.
+	// Urgency overrides the urgency of the route, 0 is the most urgent; nil keeps that of the route.
 	Urgency *int
 	Limit   Limit
-	// Regions in which the customer's requests may be served.
+	// Regions are the regions in which the customer's requests may be served.
 	Regions Regions
 }
 
 // Unit is what a limit counts.
 type Unit int
 
-// The units.
+// Units of a limit.
 const (
-	// Requests count one each.
+	// Requests counts each request as one unit.
 	Requests Unit = iota
-	// Tokens count those of a request's prompt and the most of its answer.
+	// Tokens counts the tokens of a request's prompt and the maximum tokens of its response.
 	Tokens
 )
 
-// Limit bounds what a customer spends over all boxes together.
+// Limit bounds what a customer spends on all boxes together.
 type Limit struct {
 	Unit Unit
-	// PerSecond is the rate in units a second; 0 is no limit.
+	// PerSecond is the rate in units per second; 0 means no limit.
 	PerSecond float64
-	// Burst is how many units may be spent on top at once.
+	// Burst is the number of units that may be spent at once in addition to the rate.
 	Burst float64
-	// PlainTokens is what a request counts that names no tokens, where tokens are counted.
+	// PlainTokens is the cost of a request that names no tokens, if tokens are counted.
 	PlainTokens int
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Cost is what a request with so many tokens in prompt and answer counts, in units of the limit.
+// Cost returns the cost of a request in units of the limit, given the tokens of its prompt and its response.
 func (l Limit) Cost(promptTokens, answerTokens int) float64 {
 	switch {
 	case l.Unit == Requests:
--- a/pkg/customers/directory.go
+++ b/pkg/customers/directory.go
@@ -1,17 +1,17 @@
 package customers
 
-// Directory is the customers of one version of the configuration. It does not change once made, and is safe
-// for concurrent use. A nil Directory is that of a configuration without customers.
+// Directory holds the customers of one version of the configuration. It is immutable and safe for concurrent use.
+// A nil Directory stands for a configuration without customers.
 type Directory struct {
 	byKey map[Digest]*Customer
-	// limited means that a customer has a limit.
+	// limited means that at least one customer has a limit.
 	limited bool
-	// disputed are the names of customers that share a key.
-	disputed []string
+	// sharingKey holds the names of customers that share a key with another.
+	sharingKey []string
 }
 
-// NewDirectory returns the directory of a list of customers. A key that two customers have names neither: either
-// could be charged for what the other asks.
+// NewDirectory returns the directory of a list of customers. A key of two customers identifies neither of them,
+// because either could be charged for the other's requests.
 func NewDirectory(list []Customer) *Directory {
 	d := &Directory{byKey: map[Digest]*Customer{}}
 	for i := range list {
@@ -23,33 +23,33 @@
 	return d
 }
 
-// add gives a key to a customer. A key that is disputed stays in the directory without a customer.
+// add assigns a key to a customer. A key of several customers stays in the directory, without a customer.
 func (d *Directory) add(key Digest, customer *Customer) {
-	holder, held := d.byKey[key]
+	owner, exists := d.byKey[key]
 	switch {
-	case !held:
+	case !exists:
 		d.byKey[key] = customer
-	case holder == nil:
-		d.disputed = append(d.disputed, customer.Name)
-	case holder != customer:
+	case owner == nil:
+		d.sharingKey = append(d.sharingKey, customer.Name)
+	case owner != customer:
 		d.byKey[key] = nil
-		d.disputed = append(d.disputed, holder.Name, customer.Name)
+		d.sharingKey = append(d.sharingKey, owner.Name, customer.Name)
 	}
 }
 
 // Limited reports whether any customer has a limit.
 func (d *Directory) Limited() bool { return d != nil && d.limited }
 
-// Disputed are the names of the customers that have a key in common, which therefore names none of them.
+// Disputed returns the names of the customers that share a key with another, which identifies none of them.
 func (d *Directory) Disputed() []string {
 	if d == nil {
 		return nil
 	}
-	return d.disputed
+	return d.sharingKey
 }
 
-// Find returns the customer that a credential names, or why it names none. Without customers in the
-// configuration nobody is asked for a key: it returns nil and Accepted.
+// Find returns the customer that a credential identifies, or why it identifies none. If the configuration has no
+// customers, no key is required: it returns nil and Accepted.
 func (d *Directory) Find(credential Credential) (*Customer, Rejection) {
 	if d == nil {
 		return nil, Accepted
--- a/pkg/customers/doc.go
+++ b/pkg/customers/doc.go
@@ -1,13 +1,11 @@
-// Package customers is who may ask, and how much: customers, the keys that name them, and their quotas
-// over all boxes.
+// Package customers identifies customers by their keys, and enforces their quotas over all boxes.
 //
-// A Directory is the customers of one version of the configuration; it finds the customer of a key. It is
-// made once and does not change. A Keeper holds what customers may still spend, on behalf of many boxes; a
-// Spender is a box's way to the keepers, and says at once whether a request is within its customer's quota.
-// How boxes reach each other, and which of them keeps whose quota, is a function field: internal/cluster has
-// both.
+// A Directory holds the customers of one version of the configuration and finds the customer of a key. It is
+// immutable. A Keeper holds what customers may still spend, on behalf of many boxes. A Spender is a box's client
+// of the keepers; it tells whether a request is within its customer's quota. How boxes reach each other, and
+// which box keeps which quota, is behind the Spender's Ask function, which internal/cluster provides.
 //
-// Keys are kept as digests alone. No key stands in an error, a log line or a metric.
+// Keys are stored as digests only. No key appears in an error, a log line or a metric.
 //
-// `ospreymoor node` uses it. The limits of `ospreymoor serve` are still those of pkg/admission.
+// `ospreymoor node` uses this package. The limits of `ospreymoor serve` are in pkg/admission.
 package customers
--- a/pkg/customers/keeper_test.go
+++ b/pkg/customers/keeper_test.go
@@ -31,7 +31,7 @@
 var _ = Describe("A keeper", func() {
 	limit := customers.Limit{PerSecond: 10, Burst: 20}
 
-	It("grants the burst and the rate, and tells the others to come back one after the other", func() {
+	It("grants the burst and the rate, and tells the other requests to retry one after the other", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 1), 1, time.Now())
@@ -43,7 +43,7 @@
 			grant := keeper.Spend(askFor(limit, 1, costs...), 1, time.Now())
 			Expect(grant.Waits[:20]).To(HaveEach(time.Duration(0)))
 			Expect(grant.Waits[20:]).To(Equal([]time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond}))
-			By("keeping that word")
+			By("granting them at those times")
 			for range 4 {
 				time.Sleep(101 * time.Millisecond)
 				Expect(keeper.Spend(askFor(limit, 1, 1), 1, time.Now()).Waits).To(Equal([]time.Duration{0}))
@@ -51,7 +51,7 @@
 		})
 	})
 
-	It("holds the part of the limit that it is told", func() {
+	It("holds the given share of the limit", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 1), 0.5, time.Now())
@@ -61,7 +61,7 @@
 		})
 	})
 
-	It("has a lower limit bind at once, and takes none of an older version", func() {
+	It("applies a lower limit at once, and ignores one of an older version", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 5), 1, time.Now())
@@ -73,7 +73,7 @@
 		})
 	})
 
-	It("grants one request dearer than the burst, but none that is too dear at any time", func() {
+	It("grants a request that costs more than the burst, but none that costs more than the limit ever allows", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 1), 1, time.Now())
@@ -84,7 +84,7 @@
 		})
 	})
 
-	It("takes what was spent elsewhere, and takes back what was returned, up to the burst", func() {
+	It("subtracts what was spent elsewhere, and adds what was returned, up to the burst", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 1), 1, time.Now())
@@ -112,15 +112,15 @@
 	})
 })
 
-// keeperCalls is a keeper's way, which may be blocked.
-type keeperCalls struct {
+// fakeKeeper answers asks after 5 ms, or not at all for the silent scopes.
+type fakeKeeper struct {
 	mu     sync.Mutex
 	asks   []customers.Ask
 	silent map[customers.Scope]bool
 	wait   time.Duration
 }
 
-func (k *keeperCalls) ask(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
+func (k *fakeKeeper) ask(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
 	k.mu.Lock()
 	k.asks = append(k.asks, ask)
 	silent, wait := k.silent[ask.Scope], k.wait
@@ -140,9 +140,9 @@
 var _ = Describe("A spender", func() {
 	customer := &customers.Customer{Name: "c", Limit: customers.Limit{PerSecond: 10, Burst: 10}}
 
-	It("asks for all requests together that come while a keeper is asked", func() {
+	It("batches the requests that arrive while a keeper is asked", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{}
+			calls := &fakeKeeper{}
 			spender := customers.NewSpender(calls.ask)
 			var running sync.WaitGroup
 			for range 50 {
@@ -153,9 +153,9 @@
 		})
 	})
 
-	It("goes by the next account where a keeper does not answer, and settles with the fleet's soon after", func() {
+	It("uses the next account if a keeper does not answer, and settles with the fleet's account soon after", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{silent: map[customers.Scope]bool{customers.FleetScope: true, customers.HallScope: true}}
+			calls := &fakeKeeper{silent: map[customers.Scope]bool{customers.FleetScope: true, customers.HallScope: true}}
 			spender := customers.NewSpender(calls.ask)
 			ctx, stop := context.WithCancel(context.Background())
 			go spender.Run(ctx)
@@ -176,9 +176,9 @@
 		})
 	})
 
-	It("forgets what it could not settle for long", func() {
+	It("drops spending that it could not settle in time", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{silent: map[customers.Scope]bool{customers.FleetScope: true, customers.HallScope: true}}
+			calls := &fakeKeeper{silent: map[customers.Scope]bool{customers.FleetScope: true, customers.HallScope: true}}
 			spender := customers.NewSpender(calls.ask)
 			ctx, stop := context.WithCancel(context.Background())
 			go spender.Run(ctx)
@@ -193,9 +193,9 @@
 		})
 	})
 
-	It("settles what is returned", func() {
+	It("settles returned units", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{}
+			calls := &fakeKeeper{}
 			spender := customers.NewSpender(calls.ask)
 			spender.Return(customer, 1, 4)
 			spender.Take(customer, 1, 1)
@@ -203,9 +203,9 @@
 		})
 	})
 
-	It("does not return twice what a keeper without an answer may have taken back", func() {
+	It("does not return units again that a keeper may have taken back without answering", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{silent: map[customers.Scope]bool{customers.FleetScope: true}}
+			calls := &fakeKeeper{silent: map[customers.Scope]bool{customers.FleetScope: true}}
 			spender := customers.NewSpender(calls.ask)
 			spender.Return(customer, 1, 4)
 			spender.Take(customer, 1, 1)
@@ -213,13 +213,13 @@
 			calls.silent, calls.asks = nil, nil
 			calls.mu.Unlock()
 			spender.Take(customer, 1, 1)
-			Expect(calls.asks[0].Settled).To(Equal(1.0), "what was spent on the hall's account alone")
+			Expect(calls.asks[0].Settled).To(Equal(1.0), "only what was spent on the hall's account")
 		})
 	})
 
-	It("tells a time to the requests of a flood that it does not ask for", func() {
+	It("gives a retry time to the requests of a flood that it refuses without asking", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{}
+			calls := &fakeKeeper{}
 			spender := customers.NewSpender(calls.ask)
 			var running sync.WaitGroup
 			var mu sync.Mutex
@@ -240,9 +240,9 @@
 		})
 	})
 
-	It("asks a keeper few times a second for a flood that is refused, and says how old the answer is", func() {
+	It("asks a keeper only a few times per second about a refused flood, and reports the age of the answer", func() {
 		spectest.Bubble(func() {
-			calls := &keeperCalls{wait: 5 * time.Second}
+			calls := &fakeKeeper{wait: 5 * time.Second}
 			spender := customers.NewSpender(calls.ask)
 			var last customers.Verdict
 			for range 2000 {
--- a/pkg/customers/quota.go
+++ b/pkg/customers/quota.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Tolerance is by how much what all boxes spend together may exceed a limit, within any one span of time. It pays for
-// what boxes can't know of each other in the moment: it is no part of what a customer is promised.
+// Tolerance is by how much the spending of all boxes together may exceed a limit, within any one window of time. It
+// covers what boxes can't know of each other's spending yet. It is not part of what a customer is promised.
 type Tolerance struct {
-	// Window is the span.
+	// Window is the length of the window.
 	Window time.Duration
-	// Overage is a share of what the limit allows in the span, and Slack a number of units on top.
+	// Overage is a fraction of what the limit allows in the window; Slack is a number of units on top.
 	Overage, Slack float64
 }
 
-// units is the tolerance of a limit.
+// units returns the tolerance of a limit in units.
 func (t Tolerance) units(limit Limit) float64 {
 	return t.Overage*(limit.PerSecond*t.Window.Seconds()+limit.Burst) + t.Slack
 }
 
-// Scope is whose part of a quota an account holds.
+// Scope tells which boxes share an account.
 type Scope string
 
-// The scopes, in the order in which a box tries them.
+// Scopes, in the order in which a box tries them.
 const (
-	// FleetScope is the account of all boxes that are in touch, and the only one while all of them are.
+	// FleetScope is the account of all reachable boxes, and the only one in use while all boxes are reachable.
 	FleetScope Scope = "fleet"
-	// HallScope is the account of one hall, for boxes that do not reach the fleet's.
+	// HallScope is the account of one hall, for boxes that do not reach the fleet's account.
 	HallScope Scope = "hall"
-	// BoxScope is one box's own account, for when it reaches neither.
+	// BoxScope is one box's own account, for when it reaches neither of the others.
 	BoxScope Scope = "box"
 )
 
-// Ask asks the keeper of an account to take the costs of some requests off it.
+// Ask asks the keeper of an account to subtract the costs of some requests.
 type Ask struct {
 	Customer string `json:"customer"`
 	Scope    Scope  `json:"scope"`
-	// Limit is the customer's in a version of the configuration.
+	// Limit is the customer's limit in the given version of the configuration.
 	Limit   Limit `json:"limit"`
 	Version int64 `json:"version"`
-	// Costs are those of the requests, in the order of their arrival.
+	// Costs are the costs of the requests, in the order of arrival.
 	Costs []float64 `json:"costs,omitempty"`
-	// Settled is what was spent on other accounts, or less than 0 what was taken here and is returned.
+	// Settled is what was spent on other accounts. It is negative for units that were taken from this account and
+	// are returned.
 	Settled float64 `json:"settled,omitempty"`
 }
 
-// Never is the wait of a request that is too dear for its customer's limit at any time.
+// Never is the wait of a request that is too expensive for its customer's limit at any time.
 const Never time.Duration = -1
 
-// Grant answers an Ask.
+// Grant is the response to an Ask.
 type Grant struct {
-	// Waits are for each cost the time after which it probably is granted: 0 for one that is granted now, and Never.
+	// Waits holds, for each cost, the time after which it will probably be granted: 0 if it is granted now, or
+	// Never.
 	Waits []time.Duration `json:"waits,omitempty"`
-	// Level is what is left on the account; below 0 it is overdrawn.
+	// Level is what is left on the account; a negative level means that it is overdrawn.
 	Level float64 `json:"level"`
-	// Share is the account's part of the limit, 0 to 1.
+	// Share is the fraction of the limit that the account holds, 0 to 1.
 	Share float64 `json:"share"`
 }
--- a/pkg/customers/regions.go
+++ b/pkg/customers/regions.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// Regions are those in which what belongs to a customer, or passes a route, may be served and stored; empty, and it may be anywhere.
+// Regions are the regions in which the data of a customer or a route may be served and stored. If empty, all regions
+// are allowed.
 type Regions []string
 
-// Allow reports whether a region is one of them. One that is not known ("") is allowed only where all are.
+// Allow reports whether a region is allowed. An unknown region ("") is allowed only if all are.
 func (r Regions) Allow(region string) bool {
 	return len(r) == 0 || region != "" && slices.Contains(r, region)
 }
--- a/pkg/customers/replay_test.go
+++ b/pkg/customers/replay_test.go
@@ -15,31 +15,31 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// The replay plays one customer's load at 60 boxes in 4 halls against each way of keeping its quota: what was spent in the
-// worst window of what all boxes may spend, and how much was refused that one exact account for all boxes would have
-// granted.
+// The simulation sends one customer's requests to 60 boxes in 4 halls and compares strategies for its quota. It
+// measures the highest spending in a window, relative to what all boxes may spend, and how much was refused that one
+// exact account for all boxes would have granted.
 
 const (
-	// replayUsual is what the customer usually spends, as a part of its limit.
-	replayUsual = 1 / 1.8
-	// replayDelay is that of one call between boxes.
-	replayDelay = 3 * time.Millisecond
-	// toldEvery and toldHops are the exchange's way from box to box through two relays.
-	toldEvery = 200 * time.Millisecond
-	toldHops  = 3
-	// noticed is after how long boxes know that they are out of touch.
-	noticed = 1800 * time.Millisecond
+	// usualLoad is the customer's usual spending, as a fraction of its limit.
+	usualLoad = 1 / 1.8
+	// callDelay is the one-way delay of a call between boxes.
+	callDelay = 3 * time.Millisecond
+	// exchangeInterval and exchangeHops model the exchange between boxes, from box to box through two relays.
+	exchangeInterval = 200 * time.Millisecond
+	exchangeHops     = 3
+	// detectionDelay is the time after which boxes notice that others are unreachable.
+	detectionDelay = 1800 * time.Millisecond
 )
 
-// sized is a customer: its limit, what one of its requests costs, and the tolerance of limits.
-type sized struct {
+// customerProfile is a customer with its limit, the cost of one of its requests, and the tolerance of limits.
+type customerProfile struct {
 	name      string
 	limit     customers.Limit
 	cost      float64
 	tolerance customers.Tolerance
 }
 
-var sizes = []sized{
+var profiles = []customerProfile{
 	{"small", customers.Limit{Unit: customers.Tokens, PerSecond: 29_000, Burst: 29_000}, 9244, wide},
 	{"large", customers.Limit{Unit: customers.Tokens, PerSecond: 686_000, Burst: 686_000}, 9244, wide},
 	{"strict", customers.Limit{Unit: customers.Tokens, PerSecond: 1000, Burst: 1000}, 20, narrow},
@@ -50,52 +50,54 @@
 	narrow = customers.Tolerance{Window: 2 * time.Second, Overage: 0.1, Slack: 250}
 )
 
-// load is what happens to the customer and to the boxes.
-type load struct {
+// scenario is what happens to the customer and to the boxes.
+type scenario struct {
 	name string
-	// hot is how many times its usual the customer asks, from 4 s on for 8 s; 0 is 1.
-	hot float64
-	// cutHall has the first hall out of touch with the others from 5 s on for 6 s, and cutBoxes so many single boxes.
-	cutHall  bool
-	cutBoxes int
-	// keeperDown has the box that keeps the quota down from 5 s on for 4 s; keeperFrozen, frozen.
+	// demandFactor multiplies the customer's usual demand from 4 s on for 8 s; 0 means 1.
+	demandFactor float64
+	// isolateHall separates the first hall from the others from 5 s on for 6 s, and isolatedBoxes is the number of
+	// boxes that are each separated from all others in that time.
+	isolateHall   bool
+	isolatedBoxes int
+	// keeperDown has the box that keeps the quota down from 5 s on for 4 s, after which its accounts are lost.
+	// keeperFrozen has it frozen instead, with its accounts kept.
 	keeperDown, keeperFrozen bool
-	// silent is the part of the calls between boxes that get no answer in time, as beside other work or over links that lose
-	// packets.
-	silent float64
-	// restart has all accounts forgotten at 7 s.
-	restart bool
-	// few has 3 boxes in one hall.
-	few bool
-	// lowered has the limit at this part from 3 s on; 0 is 1.
-	lowered float64
+	// lossRate is the fraction of calls between boxes that get no answer in time, as on busy machines or over links
+	// that lose packets.
+	lossRate float64
+	// restartAll drops all accounts at 7 s.
+	restartAll bool
+	// fewBoxes has 3 boxes in one hall.
+	fewBoxes bool
+	// limitFactor multiplies the limit from 3 s on; 0 means 1.
+	limitFactor float64
 }
 
-var loads = []load{
+var scenarios = []scenario{
 	{name: "usual"},
-	{name: "hot", hot: 7.5},
-	{name: "usual, hall cut", cutHall: true},
-	{name: "hot, hall cut", hot: 7.5, cutHall: true},
-	{name: "usual, 21 boxes cut", cutBoxes: 21},
-	{name: "hot, 21 boxes cut", hot: 7.5, cutBoxes: 21},
+	{name: "hot", demandFactor: 7.5},
+	{name: "usual, hall isolated", isolateHall: true},
+	{name: "hot, hall isolated", demandFactor: 7.5, isolateHall: true},
+	{name: "usual, 21 boxes isolated", isolatedBoxes: 21},
+	{name: "hot, 21 boxes isolated", demandFactor: 7.5, isolatedBoxes: 21},
 	{name: "usual, keeper down", keeperDown: true},
-	{name: "hot, keeper down", hot: 7.5, keeperDown: true},
-	{name: "hot, keeper frozen", hot: 7.5, keeperFrozen: true},
-	{name: "usual, calls lost", silent: 0.3},
-	{name: "hot, calls lost", hot: 7.5, silent: 0.3},
-	{name: "usual, few boxes, calls lost", few: true, silent: 0.3},
-	{name: "hot, few boxes, calls lost", few: true, hot: 7.5, silent: 0.3},
-	{name: "usual, all restarted", restart: true},
-	{name: "hot, all restarted", hot: 7.5, restart: true},
-	{name: "hot, limit lowered", hot: 7.5, lowered: 0.2},
+	{name: "hot, keeper down", demandFactor: 7.5, keeperDown: true},
+	{name: "hot, keeper frozen", demandFactor: 7.5, keeperFrozen: true},
+	{name: "usual, calls lost", lossRate: 0.3},
+	{name: "hot, calls lost", demandFactor: 7.5, lossRate: 0.3},
+	{name: "usual, few boxes, calls lost", fewBoxes: true, lossRate: 0.3},
+	{name: "hot, few boxes, calls lost", fewBoxes: true, demandFactor: 7.5, lossRate: 0.3},
+	{name: "usual, all restarted", restartAll: true},
+	{name: "hot, all restarted", demandFactor: 7.5, restartAll: true},
+	{name: "hot, limit lowered", demandFactor: 7.5, limitFactor: 0.2},
 }
 
-// replay is one play.
-type replay struct {
-	load
-	sized
+// simulation is one run.
+type simulation struct {
+	scenario
+	customerProfile
 	boxes, halls int
-	luck         *rand.Rand
+	lossRandom   *rand.Rand
 	begun        time.Time
 	weights      []float64
 	keepers      []*customers.Keeper
@@ -110,53 +112,53 @@
 	granted bool
 }
 
-// forget has all boxes begin anew.
-func (r *replay) forget(seed uint64) {
+// resetAll gives all boxes new keepers.
+func (r *simulation) resetAll(seed uint64) {
 	for box := range r.boxes {
-		r.replace(box, seed)
+		r.reset(box, seed)
 	}
 }
 
-// replace has one box begin anew.
-func (r *replay) replace(box int, seed uint64) {
+// reset gives one box a new keeper.
+func (r *simulation) reset(box int, seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keepers[box] = r.newKeeper(seed, box)
 }
 
-func (r *replay) keeper(box int) *customers.Keeper {
+func (r *simulation) keeper(box int) *customers.Keeper {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keepers[box]
 }
 
-func (r *replay) newKeeper(seed uint64, box int) *customers.Keeper {
+func (r *simulation) newKeeper(seed uint64, box int) *customers.Keeper {
 	keeper := customers.NewKeeper(r.tolerance)
 	keeper.Random = rand.New(rand.NewPCG(seed, uint64(box))).Float64
 	return keeper
 }
 
-func (r *replay) now() time.Duration { return time.Since(r.begun) }
+func (r *simulation) now() time.Duration { return time.Since(r.begun) }
 
 func within(at, from, span time.Duration) bool { return at >= from && at < from+span }
 
-// side is which part of a cut a box is on.
-func (r *replay) side(box int) int {
+// side returns which side of a network partition a box is on.
+func (r *simulation) side(box int) int {
 	if !within(r.now(), 5*time.Second, 6*time.Second) {
 		return 0
 	}
 	switch {
-	case r.cutHall && box%r.halls == 0:
+	case r.isolateHall && box%r.halls == 0:
 		return 1
-	case r.cutBoxes > 0 && box < r.cutBoxes:
+	case r.isolatedBoxes > 0 && box < r.isolatedBoxes:
 		return 2 + box
 	}
 	return 0
 }
 
-// inTouch is how many boxes a box knows to be in touch with it.
-func (r *replay) inTouch(box int) int {
-	if !within(r.now(), 5*time.Second+noticed, 6*time.Second) {
+// reachableBoxes returns how many boxes a box knows to be reachable, itself included.
+func (r *simulation) reachableBoxes(box int) int {
+	if !within(r.now(), 5*time.Second+detectionDelay, 6*time.Second) {
 		return r.boxes
 	}
 	count := 0
@@ -168,18 +170,18 @@
 	return count
 }
 
-func (r *replay) currentLimit() (customers.Limit, int64) {
-	if r.lowered == 0 || r.now() < 3*time.Second {
+func (r *simulation) currentLimit() (customers.Limit, int64) {
+	if r.limitFactor == 0 || r.now() < 3*time.Second {
 		return r.limit, 1
 	}
 	limit := r.limit
-	limit.PerSecond *= r.lowered
-	limit.Burst *= r.lowered
+	limit.PerSecond *= r.limitFactor
+	limit.Burst *= r.limitFactor
 	return limit, 2
 }
 
-// play asks for 16 s; take is one way's decision at a box.
-func (r *replay) play(seed uint64, take func(box int) bool) {
+// run sends requests for 16 s. take is the strategy's decision at a box.
+func (r *simulation) run(seed uint64, take func(box int) bool) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	r.weights = make([]float64, r.boxes)
 	sum := 0.0
@@ -189,9 +191,9 @@
 	}
 	var running sync.WaitGroup
 	for r.now() < 16*time.Second {
-		rate := r.limit.PerSecond * replayUsual / r.cost
-		if r.hot > 0 && within(r.now(), 4*time.Second, 8*time.Second) {
-			rate *= r.hot
+		rate := r.limit.PerSecond * usualLoad / r.cost
+		if r.demandFactor > 0 && within(r.now(), 4*time.Second, 8*time.Second) {
+			rate *= r.demandFactor
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		box, point := 0, random.Float64()*sum
@@ -209,15 +211,15 @@
 	running.Wait()
 }
 
-// result is what came of a play.
+// result is the outcome of a run.
 type result struct {
-	// worst is the most that was spent in a window, of what the rule allows.
-	worst float64
-	// falselyRefused is the part of the requests that an exact account would have granted and that were refused.
+	// worstSpending is the highest spending in a window, relative to what the limit and its tolerance allow.
+	worstSpending float64
+	// falselyRefused is the fraction of the requests that an exact account would have granted and that were refused.
 	falselyRefused float64
 }
 
-func (r *replay) result() result {
+func (r *simulation) result() result {
 	slices.SortFunc(r.asked, func(a, b request) int { return int(a.at - b.at) })
 	var out result
 	window := r.tolerance.Window
@@ -232,12 +234,12 @@
 			}
 		}
 		limit := r.limit
-		if r.lowered > 0 && first.at > 3*time.Second+window {
-			limit.PerSecond *= r.lowered
-			limit.Burst *= r.lowered
+		if r.limitFactor > 0 && first.at > 3*time.Second+window {
+			limit.PerSecond *= r.limitFactor
+			limit.Burst *= r.limitFactor
 		}
 		allowed := (limit.PerSecond*window.Seconds()+limit.Burst)*(1+r.tolerance.Overage) + r.tolerance.Slack
-		out.worst = max(out.worst, spent/allowed)
+		out.worstSpending = max(out.worstSpending, spent/allowed)
 	}
 	level, last := r.limit.Burst, time.Duration(0)
 	due, granted := 0, 0
@@ -252,58 +254,59 @@
 			granted++
 		}
 	}
-	if r.lowered == 0 {
+	if r.limitFactor == 0 {
 		out.falselyRefused = math.Max(0, float64(due-granted)/float64(due))
 	}
 	return out
 }
 
 var _ = Describe("A customer's quota over 60 boxes", func() {
-	ways := []struct {
+	strategies := []struct {
 		name string
-		play func(*replay, uint64) result
-		// kept is set for the way in use.
-		kept bool
+		play func(*simulation, uint64) result
+		// inUse marks the strategy that the software uses.
+		inUse bool
 	}{
-		{name: "fixed parts", play: (*replay).byFixedParts},
-		{name: "told sums", play: (*replay).byToldSums},
-		{name: "keepers", play: (*replay).byKeepers, kept: true},
+		{name: "fixed parts", play: (*simulation).byFixedParts},
+		{name: "exchanged sums", play: (*simulation).byExchangedSums},
+		{name: "keepers", play: (*simulation).byKeepers, inUse: true},
 	}
-	// What the keepers refuse falsely at most: next to nothing while boxes are in touch, some where calls are lost or the
-	// keeper changes, and more at boxes that are out of touch one by one, whose parts hold less than a request.
-	mostRefused := func(l load) float64 {
+	// maxRefused is the largest fraction that the keepers may falsely refuse: next to nothing while boxes are
+	// reachable, some where calls are lost or the keeper changes, and more at single isolated boxes, whose parts of
+	// the limit hold less than a request.
+	maxRefused := func(l scenario) float64 {
 		switch {
-		case l.cutBoxes > 0:
+		case l.isolatedBoxes > 0:
 			return 0.2
-		case l.silent > 0, l.keeperDown, l.keeperFrozen:
+		case l.lossRate > 0, l.keeperDown, l.keeperFrozen:
 			return 0.1
 		}
 		return 0.01
 	}
-	for _, way := range ways {
+	for _, way := range strategies {
 		It("is kept by "+way.name, func() {
 			var missed []string
-			for _, size := range sizes {
-				for _, l := range loads {
+			for _, size := range profiles {
+				for _, l := range scenarios {
 					var sum result
 					seeds := 1
-					if way.kept {
+					if way.inUse {
 						seeds = 3
 					}
 					for seed := range uint64(seeds) {
 						spectest.Bubble(func() {
-							r := &replay{load: l, boxes: 60, halls: 4, luck: rand.New(rand.NewPCG(seed, 13)), sized: size, begun: time.Now()}
-							if l.few {
+							r := &simulation{scenario: l, boxes: 60, halls: 4, lossRandom: rand.New(rand.NewPCG(seed, 13)), customerProfile: size, begun: time.Now()}
+							if l.fewBoxes {
 								r.boxes, r.halls = 3, 1
 							}
 							got := way.play(r, seed)
-							sum.worst = max(sum.worst, got.worst)
+							sum.worstSpending = max(sum.worstSpending, got.worstSpending)
 							sum.falselyRefused += got.falselyRefused / float64(seeds)
 						})
 					}
-					row := fmt.Sprintf("| %s | %s | %s | %.2f | %.1f |", size.name, l.name, way.name, sum.worst, 100*sum.falselyRefused)
+					row := fmt.Sprintf("| %s | %s | %s | %.2f | %.1f |", size.name, l.name, way.name, sum.worstSpending, 100*sum.falselyRefused)
 					GinkgoWriter.Println(row)
-					if way.kept && (sum.worst > 1 || sum.falselyRefused > mostRefused(l)) {
+					if way.inUse && (sum.worstSpending > 1 || sum.falselyRefused > maxRefused(l)) {
 						missed = append(missed, row)
 					}
 				}
--- a/pkg/customers/replay_ways_test.go
+++ b/pkg/customers/replay_ways_test.go
@@ -9,20 +9,21 @@
 	"ospreymoor.example/ospreymoor/pkg/customers"
 )
 
-// The ways of keeping a quota that the replay compares: by keepers, which is the one in use, by fixed parts, and by sums that
-// boxes tell each other.
+// The strategies that the simulation compares: keepers, which is the one in use, fixed parts, and sums that boxes
+// exchange.
 
-// byKeepers has one box keep the quota for all, a box of each hall for those that do not reach it, and each box for itself.
-func (r *replay) byKeepers(seed uint64) result {
+// byKeepers has one box keep the quota for all. A box of each hall keeps it for boxes of the hall that do not reach
+// the first one, and each box for itself if it reaches neither.
+func (r *simulation) byKeepers(seed uint64) result {
 	r.keepers = make([]*customers.Keeper, r.boxes)
-	r.forget(seed)
+	r.resetAll(seed)
 	// The keeper of the fleet is in a hall that is not cut, and among the single boxes that are.
 	const keeper = 1
 	spenders := make([]*customers.Spender, r.boxes)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
-		time.Sleep(time.Second) // Asks under way end.
+		time.Sleep(time.Second) // Asks in flight end.
 	}()
 	for box := range r.boxes {
 		spenders[box] = customers.NewSpender(func(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
@@ -30,23 +31,23 @@
 		})
 		go spenders[box].Run(ctx)
 	}
-	if r.restart {
-		time.AfterFunc(7*time.Second, func() { r.forget(seed) })
+	if r.restartAll {
+		time.AfterFunc(7*time.Second, func() { r.resetAll(seed) })
 	}
 	if r.keeperDown {
-		time.AfterFunc(9*time.Second, func() { r.replace(keeper, seed) })
+		time.AfterFunc(9*time.Second, func() { r.reset(keeper, seed) })
 	}
-	r.play(seed, func(box int) bool {
+	r.run(seed, func(box int) bool {
 		limit, version := r.currentLimit()
 		return spenders[box].Take(&customers.Customer{Name: "c", Limit: limit}, version, r.cost).Granted
 	})
 	return r.result()
 }
 
-// hallKeeper is the first box of a box's hall that it knows to be in touch with it and that does not keep the fleet's account,
-// with its part.
-func (r *replay) hallKeeper(box, fleetKeeper int) (int, float64) {
-	known := within(r.now(), 5*time.Second+noticed, 6*time.Second)
+// hallKeeper returns the first box of a box's hall that is known to be reachable and does not keep the fleet's
+// account, and the share of its account.
+func (r *simulation) hallKeeper(box, fleetKeeper int) (int, float64) {
+	known := within(r.now(), 5*time.Second+detectionDelay, 6*time.Second)
 	first, count := -1, 0
 	for other := box % r.halls; other < r.boxes; other += r.halls {
 		if known && r.side(other) != r.side(box) {
@@ -64,19 +65,19 @@
 }
 
 // lost reports whether a call between boxes gets no answer in time.
-func (r *replay) lost() bool {
+func (r *simulation) lost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.luck.Float64() < r.silent
+	return r.lossRandom.Float64() < r.lossRate
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (r *replay) ask(ctx context.Context, box, keeper int, ask customers.Ask) (customers.Grant, error) {
+func (r *simulation) ask(ctx context.Context, box, keeper int, ask customers.Ask) (customers.Grant, error) {
 	to, share := keeper, 0.0
 	switch ask.Scope {
 	case customers.FleetScope:
-		share = float64(r.inTouch(keeper)) / float64(r.boxes)
+		share = float64(r.reachableBoxes(keeper)) / float64(r.boxes)
 	case customers.HallScope:
 		to, share = r.hallKeeper(box, keeper)
 	default:
@@ -85,19 +86,19 @@
 	down := (r.keeperDown || r.keeperFrozen) && to == keeper && within(r.now(), 5*time.Second, 4*time.Second)
 	if to != box && (down || r.lost() || r.side(to) != r.side(box)) {
 		<-ctx.Done()
-		return customers.Grant{}, errSilent
+		return customers.Grant{}, errNoAnswer
 	}
 	if to != box {
-		time.Sleep(2 * replayDelay)
+		time.Sleep(2 * callDelay)
 	}
 	return r.keeper(to).Spend(ask, share, time.Now()), nil
 }
 
-// byFixedParts has each box keep its equal part and ask nobody.
-func (r *replay) byFixedParts(seed uint64) result {
+// byFixedParts has each box keep an equal part of the limit and ask no other box.
+func (r *simulation) byFixedParts(seed uint64) result {
 	r.keepers = make([]*customers.Keeper, r.boxes)
-	r.forget(seed)
-	r.play(seed, func(box int) bool {
+	r.resetAll(seed)
+	r.run(seed, func(box int) bool {
 		limit, version := r.currentLimit()
 		ask := customers.Ask{Customer: "c", Scope: customers.BoxScope, Limit: limit, Version: version, Costs: []float64{r.cost}}
 		return r.keeper(box).Spend(ask, 1.0/float64(r.boxes), time.Now()).Waits[0] == 0
@@ -105,25 +106,25 @@
 	return r.result()
 }
 
-// byToldSums has each box keep an account of what all spend: what the others spend is told with the exchange, and an
-// account holds the part of the boxes that are in touch.
-func (r *replay) byToldSums(seed uint64) result {
+// byExchangedSums has each box keep an account of the spending of all boxes, which the boxes exchange. An account
+// holds the part of the limit of the reachable boxes.
+func (r *simulation) byExchangedSums(seed uint64) result {
 	r.keepers = make([]*customers.Keeper, r.boxes)
-	r.forget(seed)
+	r.resetAll(seed)
 	ask := func(box int, costs []float64, settled float64) customers.Grant {
 		limit, version := r.currentLimit()
 		a := customers.Ask{Customer: "c", Scope: customers.FleetScope, Limit: limit, Version: version, Costs: costs, Settled: settled}
-		return r.keeper(box).Spend(a, float64(r.inTouch(box))/float64(r.boxes), time.Now())
+		return r.keeper(box).Spend(a, float64(r.reachableBoxes(box))/float64(r.boxes), time.Now())
 	}
-	if r.restart {
-		time.AfterFunc(7*time.Second, func() { r.forget(seed) })
+	if r.restartAll {
+		time.AfterFunc(7*time.Second, func() { r.resetAll(seed) })
 	}
 	random := rand.New(rand.NewPCG(seed, 11))
-	r.play(seed, func(box int) bool {
+	r.run(seed, func(box int) bool {
 		granted := ask(box, []float64{r.cost}, 0).Waits[0] == 0
 		if granted {
 			r.mu.Lock()
-			delay := time.Duration(random.Float64() * toldHops * float64(toldEvery))
+			delay := time.Duration(random.Float64() * exchangeHops * float64(exchangeInterval))
 			r.mu.Unlock()
 			time.AfterFunc(delay, func() {
 				for other := range r.boxes {
@@ -135,6 +136,6 @@
 		}
 		return granted
 	})
-	time.Sleep(toldHops * toldEvery)
+	time.Sleep(exchangeHops * exchangeInterval)
 	return r.result()
 }
--- a/pkg/customers/spender.go
+++ b/pkg/customers/spender.go
@@ -7,70 +7,70 @@
 )
 
 const (
-	// askTimeout bounds one ask of a keeper. A request of a service that aims at 0.3 s waits for two in vain at most,
-	// and then goes by its box's own account. An answer takes 3 ms between halls.
+	// askTimeout bounds one ask of a keeper. A request of a service with a target of 0.3 s waits for at most two
+	// timeouts, and is then decided by its box's own account. An answer takes 3 ms between halls.
 	askTimeout = 100 * time.Millisecond
-	// longestClosed is for how long a box refuses a customer's requests without asking, after a keeper refused one. It
-	// bounds what a flood of one customer costs its keeper to five asks a second from each box.
-	longestClosed = 200 * time.Millisecond
-	// maxBatch is how many requests one ask is for.
+	// refusalTTL is how long a box refuses a customer's requests without asking, after a keeper refused one. With a
+	// flood from one customer, each box asks the keeper at most five times per second.
+	refusalTTL = 200 * time.Millisecond
+	// maxBatch is the largest number of requests in one ask.
 	maxBatch = 256
-	// maxWaiting bounds the requests of one customer that wait for an answer; those beyond are refused. What a box
-	// takes in within both timeouts at 10,000 requests a second.
-	maxWaiting = 2000
-	// settleTTL is for how long what was spent on other accounts is still to be settled with the fleet's. Later the fleet's
-	// account has known for long that this box is out of touch, and holds no part for it.
+	// maxPending bounds the requests of one customer that wait for an answer; further ones are refused. It is the
+	// number that a box receives within both timeouts at 10,000 requests per second.
+	maxPending = 2000
+	// settleTTL is how long spending on other accounts is kept to be settled with the fleet's account. After that
+	// time, the fleet's account has long noticed that this box is unreachable, and holds no part for it.
 	settleTTL = 2 * time.Second
-	// settleInterval is the time between two tries to settle.
+	// settleInterval is the time between two attempts to settle.
 	settleInterval = 250 * time.Millisecond
 )
 
-// Verdict is whether a request is within its customer's quota, with what that went by.
+// Verdict tells whether a request is within its customer's quota, and by which account.
 type Verdict struct {
 	Granted bool
-	// RetryAfter is after how long a request that is not granted probably is; Never, and it has no such time.
+	// RetryAfter is the time after which a refused request will probably be granted, or Never.
 	RetryAfter time.Duration
-	// Scope, Level and Share are those of the account that decided.
+	// Scope, Level and Share describe the account that decided.
 	Scope Scope
 	Level float64
 	Share float64
-	// Age is how long ago the account was asked.
+	// Age is the time since the account was asked.
 	Age time.Duration
 }
 
-// Spender takes the costs of this box's requests off their customers' quotas. Requests of one customer that come while a
-// keeper is asked are asked for together. It is safe for concurrent use.
+// Spender charges the costs of this box's requests to their customers' quotas. Requests of one customer that arrive
+// while a keeper is asked are batched into the next ask. It is safe for concurrent use.
 type Spender struct {
-	// Ask asks the keeper of an account. An error means that it does not answer, and the next scope is tried; that of
-	// BoxScope always answers.
+	// Ask asks the keeper of an account. After an error, which means that the keeper does not answer, the next
+	// scope is tried. BoxScope always answers.
 	Ask func(ctx context.Context, ask Ask) (Grant, error)
 
 	mu     sync.Mutex
 	queues map[string]*queue
 }
 
-// queue is what waits for one customer's keeper.
+// queue holds the requests that wait for one customer's keeper.
 type queue struct {
 	limit   Limit
 	version int64
-	waiting []waiting
-	// asking means that a goroutine asks for the queue.
+	pending []pendingRequest
+	// asking means that a goroutine is processing the queue.
 	asking bool
-	// unsettled was spent on other accounts than the fleet's, or less than 0 was taken there and is returned; since is
-	// when that began.
+	// unsettled is what was spent on other accounts than the fleet's. It is negative if units that were taken from
+	// the fleet's account are returned. since is when it began to accumulate.
 	unsettled float64
 	since     time.Time
-	// closed is until when requests are refused without asking, as refused says, which was said at told.
-	closed, told time.Time
-	refused      Verdict
+	// Until refuseUntil, requests are refused without asking, by lastRefusal, which was received at refusedAt.
+	refuseUntil, refusedAt time.Time
+	lastRefusal            Verdict
 }
 
-type waiting struct {
+type pendingRequest struct {
 	cost    float64
 	verdict chan Verdict
 }
 
-// NewSpender returns a spender that asks by the function.
+// NewSpender returns a spender that asks keepers with the given function.
 func NewSpender(ask func(ctx context.Context, ask Ask) (Grant, error)) *Spender {
 	return &Spender{Ask: ask, queues: map[string]*queue{}}
 }
@@ -81,25 +81,25 @@
 	s.mu.Lock()
 	q := s.queue(customer, version)
 	now := time.Now()
-	if now.Before(q.closed) || len(q.waiting) >= maxWaiting {
+	if now.Before(q.refuseUntil) || len(q.pending) >= maxPending {
 		defer s.mu.Unlock()
 		return q.refuse(now)
 	}
-	w := waiting{cost: cost, verdict: make(chan Verdict, 1)}
-	q.waiting = append(q.waiting, w)
-	s.start(customer.Name, q)
+	w := pendingRequest{cost: cost, verdict: make(chan Verdict, 1)}
+	q.pending = append(q.pending, w)
+	s.startAsking(customer.Name, q)
 	s.mu.Unlock()
 	return <-w.verdict
 }
 
-// Return gives back the cost of a request that was granted, did not run and never will.
+// Return gives back the cost of a granted request that did not run and never will.
 func (s *Spender) Return(customer *Customer, version int64, cost float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue(customer, version).noteUnsettled(-cost, time.Now())
+	s.queue(customer, version).addUnsettled(-cost, time.Now())
 }
 
-// Run settles what is unsettled until ctx ends.
+// Run settles spending with the fleet's accounts until ctx ends.
 func (s *Spender) Run(ctx context.Context) {
 	ticker := time.NewTicker(settleInterval)
 	defer ticker.Stop()
@@ -113,18 +113,18 @@
 	}
 }
 
-// settleAll has the queues asked for that have something to settle.
+// settleAll starts asking for the queues that have something to settle.
 func (s *Spender) settleAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, q := range s.queues {
-		if q.pending(time.Now()) != 0 {
-			s.start(name, q)
+		if q.currentUnsettled(time.Now()) != 0 {
+			s.startAsking(name, q)
 		}
 	}
 }
 
-// queue returns a customer's queue under its latest limit. The caller holds the lock.
+// queue returns a customer's queue, updated to the latest limit. The caller holds the lock.
 func (s *Spender) queue(customer *Customer, version int64) *queue {
 	q := s.queues[customer.Name]
 	if q == nil {
@@ -137,40 +137,40 @@
 	return q
 }
 
-// start has a queue asked for, if it is not. The caller holds the lock.
-func (s *Spender) start(name string, q *queue) {
+// startAsking starts a goroutine that processes the queue, unless one is running. The caller holds the lock.
+func (s *Spender) startAsking(name string, q *queue) {
 	if !q.asking {
 		q.asking = true
-		go s.askAll(name, q)
+		go s.drainQueue(name, q)
 	}
 }
 
-// askAll asks until nobody waits. An ask that only settles is made once.
-func (s *Spender) askAll(name string, q *queue) {
+// drainQueue asks until no request is pending. If none was pending, it asks once if there is something to settle.
+func (s *Spender) drainQueue(name string, q *queue) {
 	for settle := true; ; settle = false {
-		ask, batch, more := s.next(name, q, settle)
-		if !more {
+		ask, batch, ok := s.nextAsk(name, q, settle)
+		if !ok {
 			return
 		}
 		asked := time.Now()
-		grant, scope := s.askScopes(ask)
-		s.answer(q, ask, batch, grant, scope, asked)
+		grant, scope := s.askInOrder(ask)
+		s.deliver(q, ask, batch, grant, scope, asked)
 	}
 }
 
-// next takes the next ask out of a queue; one that only settles if settle is set. It reports false, and the goroutine
-// ends, if there is nothing to ask.
-func (s *Spender) next(name string, q *queue, settle bool) (ask Ask, batch []waiting, more bool) {
+// nextAsk takes the next ask out of a queue, including one that only settles if settle is set. It reports false if
+// there is nothing to ask; the goroutine then ends.
+func (s *Spender) nextAsk(name string, q *queue, settle bool) (ask Ask, batch []pendingRequest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := min(len(q.waiting), maxBatch)
-	if n == 0 && (!settle || q.pending(time.Now()) == 0) {
+	n := min(len(q.pending), maxBatch)
+	if n == 0 && (!settle || q.currentUnsettled(time.Now()) == 0) {
 		q.asking = false
 		return Ask{}, nil, false
 	}
-	batch = q.waiting[:n:n]
-	q.waiting = q.waiting[n:]
-	ask = Ask{Customer: name, Limit: q.limit, Version: q.version, Settled: q.pending(time.Now())}
+	batch = q.pending[:n:n]
+	q.pending = q.pending[n:]
+	ask = Ask{Customer: name, Limit: q.limit, Version: q.version, Settled: q.currentUnsettled(time.Now())}
 	q.unsettled = 0
 	for _, w := range batch {
 		ask.Costs = append(ask.Costs, w.cost)
@@ -178,8 +178,8 @@
 	return ask, batch, true
 }
 
-// askScopes asks one account after the other until one answers. Only the fleet's is asked to settle alone.
-func (s *Spender) askScopes(ask Ask) (Grant, Scope) {
+// askInOrder asks one account after another until one answers. Without costs, only the fleet's account is asked.
+func (s *Spender) askInOrder(ask Ask) (Grant, Scope) {
 	settled := ask.Settled
 	for _, scope := range []Scope{FleetScope, HallScope, BoxScope} {
 		ask.Scope, ask.Settled = scope, 0
@@ -191,7 +191,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		grant, err := s.Ask(ctx, ask)
 		cancel()
-		// An error needs no line: whoever asks the keeper logs when it loses and regains it.
+		// Not logged here: whoever asks the keeper logs when it loses and regains it.
 		if err == nil && len(grant.Waits) == len(ask.Costs) {
 			return grant, scope
 		}
@@ -199,13 +199,13 @@
 	return Grant{}, ""
 }
 
-// answer gives all requests of an ask their verdicts, and notes what is to be settled.
-func (s *Spender) answer(q *queue, ask Ask, batch []waiting, grant Grant, scope Scope, asked time.Time) {
+// deliver gives all requests of an ask their verdicts, and records what must be settled.
+func (s *Spender) deliver(q *queue, ask Ask, batch []pendingRequest, grant Grant, scope Scope, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if scope != FleetScope {
-		// The keeper may have taken it: what was spent is told again, what is returned is not.
+		// The keeper may have applied it without answering: spending is reported again, returned units are not.
 		q.unsettled += max(0, ask.Settled)
 	}
 	verdict := Verdict{Scope: scope, Level: grant.Level, Share: grant.Share, Age: now.Sub(asked)}
@@ -215,36 +215,36 @@
 			v.Granted, v.RetryAfter = grant.Waits[i] == 0, grant.Waits[i]
 		}
 		if v.Granted && scope != FleetScope {
-			q.noteUnsettled(w.cost, now)
+			q.addUnsettled(w.cost, now)
 		}
 		if !v.Granted && v.RetryAfter != Never {
-			q.close(v, now)
+			q.cacheRefusal(v, now)
 		}
 		w.verdict <- v
 	}
 }
 
-// close has the next requests refused without asking until the time that the first refused one was told. The caller holds the
-// lock.
-func (q *queue) close(refused Verdict, now time.Time) {
-	if !now.Before(q.closed) {
-		q.closed = now.Add(min(longestClosed, refused.RetryAfter))
+// cacheRefusal makes the next requests be refused without asking, until the retry time of the first refused request
+// but for at most refusalTTL. The caller holds the lock.
+func (q *queue) cacheRefusal(refused Verdict, now time.Time) {
+	if !now.Before(q.refuseUntil) {
+		q.refuseUntil = now.Add(min(refusalTTL, refused.RetryAfter))
 	}
-	q.refused, q.told = refused, now
+	q.lastRefusal, q.refusedAt = refused, now
 }
 
-// refuse is the verdict of a request that is refused without asking. The caller holds the lock.
+// refuse returns the verdict of a request that is refused without asking. The caller holds the lock.
 func (q *queue) refuse(now time.Time) Verdict {
-	v := q.refused
+	v := q.lastRefusal
 	if v.RetryAfter <= 0 {
-		v.RetryAfter = longestClosed // None was refused yet: more wait than are asked for.
+		v.RetryAfter = refusalTTL // No request was refused yet, but maxPending is reached.
 	}
-	v.Age += now.Sub(q.told)
+	v.Age += now.Sub(q.refusedAt)
 	return v
 }
 
-// noteUnsettled adds to what is to be settled. The caller holds the lock.
-func (q *queue) noteUnsettled(units float64, now time.Time) {
+// addUnsettled adds to what must be settled. The caller holds the lock.
+func (q *queue) addUnsettled(units float64, now time.Time) {
 	if units == 0 {
 		return
 	}
@@ -254,8 +254,8 @@
 	q.unsettled += units
 }
 
-// pending is what is to be settled. What is too old is dropped. The caller holds the lock.
-func (q *queue) pending(now time.Time) float64 {
+// currentUnsettled returns what must be settled, and drops it if it is too old. The caller holds the lock.
+func (q *queue) currentUnsettled(now time.Time) float64 {
 	if now.Sub(q.since) > settleTTL {
 		q.unsettled = 0
 	}
