--- a/internal/storeview/doc.go
+++ b/internal/storeview/doc.go
@@ -1,10 +1,10 @@
-// Package storeview is one box's view of the platform's store, in the way of `ospreymoor node`.
+// Package storeview keeps one box's view of the platform's store, for `ospreymoor node`.
 //
-// It owns the copy of the store (a pkg/mirror) with the rules for when the store is asked, and what
-// is decoded from it: the configuration, the list of upstreams and the records that boxes write
-// themselves. It hands each part to its owner: the gateway, the directory, the membership, the order
-// lease. Registration keeps this box listed in the store.
+// It owns the box's copy of the store (a pkg/mirror) and decides when the store is polled. It decodes
+// the configuration, the list of upstreams and the records that boxes write themselves, and passes
+// each part to its owner: the gateway, the directory, the membership, the order lease. Registration
+// keeps this box listed in the store.
 //
-// Its look-alikes of `ospreymoor serve` are pkg/bundle for the configuration, pkg/membership for the
-// list of boxes and pkg/records for how both spread.
+// `ospreymoor serve` has pkg/bundle for the configuration, pkg/membership for the list of boxes and
+// pkg/records for the distribution of both instead.
 package storeview
--- a/internal/storeview/evacuation.go
+++ b/internal/storeview/evacuation.go
@@ -9,12 +9,13 @@
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 )
 
-// maxHallName bounds the name of an evacuated hall, in bytes; a longer one is another writer's.
+// maxHallName is the longest name of an evacuated hall, in bytes. A key with a longer name is ignored, because
+// another program must have written it.
 const maxHallName = 100
 
-// takeEvacuations takes which halls are evacuated. A record counts by its key alone, whatever its value, so that one that can't be read
-// does no less than what its writer asked for.
-func (v *View) takeEvacuations(state mirror.State, changed []string) fleet.Evacuations {
+// applyEvacuations updates the set of evacuated halls and returns what changed. Only the key of a record counts, not
+// its value, so that an unreadable record still evacuates the hall as its writer asked.
+func (v *View) applyEvacuations(state mirror.State, changed []string) fleet.Evacuations {
 	if len(changed) == 0 {
 		return fleet.Evacuations{}
 	}
@@ -23,7 +24,7 @@
 		if hall == "" || len(hall) > maxHallName {
 			continue
 		}
-		if _, held := state.Records.Get(key); held {
+		if _, found := state.Records.Get(key); found {
 			v.evacuated[hall] = true
 		} else {
 			delete(v.evacuated, hall)
@@ -33,7 +34,8 @@
 	return v.config.Directory.SetEvacuated(state.Revision, v.evacuated)
 }
 
-// logEvacuations logs what began and ended, with what is left, so that an operator sees why requests are refused.
+// logEvacuations logs evacuations that began or ended, with the number of upstreams left, so that an operator sees
+// why requests are refused.
 func (v *View) logEvacuations(change *fleet.Evacuations, state mirror.State) {
 	if !change.Any() {
 		return
--- a/internal/storeview/evacuation_test.go
+++ b/internal/storeview/evacuation_test.go
@@ -19,32 +19,32 @@
 		return f
 	}
 
-	It("count by their keys, whatever they hold, from the copy that has them to the one that has not", func() {
+	It("evacuate their halls whatever their values, from the copy that has them until the first one without them", func() {
 		f := newEvacuationFixture()
 		for _, value := range []string{"{}", "", "[", "null", `{"zone":7}`} {
-			f.take(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/": value}))
+			f.applyState(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/": value}))
 			Expect(f.directory.Get("e1").Evacuated).To(BeFalse(), "the empty name is no hall")
 		}
-		f.take(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/h1": "[", "evacuate/" + strings.Repeat("x", maxHallName+1): "{}"}))
+		f.applyState(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/h1": "[", "evacuate/" + strings.Repeat("x", maxHallName+1): "{}"}))
 		begun := f.logged.FilterMessage("halls evacuated: their upstreams get nothing new")
 		Expect(begun.Len()).To(Equal(1))
 		Expect(begun.All()[0].ContextMap()["halls"]).To(Equal([]any{"h1"}))
 		Expect(f.evacuatedHalls.Load()).To(Equal(int64(1)))
-		f.take(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1"}))
+		f.applyState(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1"}))
 		Expect(f.logged.FilterMessage("evacuation of halls ended").Len()).To(Equal(1))
 		Expect(f.evacuatedHalls.Load()).To(BeZero())
 	})
 
-	It("are warned of once where no upstream is left", func() {
+	It("are logged with a single warning when they leave no upstream", func() {
 		f := newEvacuationFixture()
 		f.config.Platform.DecodeUpstream = func(record kv.Record) (fleet.Upstream, error) {
 			return fleet.Upstream{ID: string(record.Value), Service: "s", Hall: "h1", Revision: record.Revision}, nil
 		}
 		warning := "no upstream is left outside of evacuated halls: every request to one is refused until an evacuation ends"
-		f.take(stateOf(1, map[string]string{"servers/e1": "e1", "evacuate/h2": "{}"}))
+		f.applyState(stateOf(1, map[string]string{"servers/e1": "e1", "evacuate/h2": "{}"}))
 		Expect(f.logged.FilterMessage(warning).Len()).To(BeZero())
 		for range 3 {
-			f.take(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/h1": "{}"}))
+			f.applyState(stateOf(f.directory.Revision()+1, map[string]string{"servers/e1": "e1", "evacuate/h1": "{}"}))
 		}
 		Expect(f.logged.FilterMessage(warning).Len()).To(Equal(1))
 	})
--- a/internal/storeview/own.go
+++ b/internal/storeview/own.go
@@ -13,43 +13,44 @@
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 )
 
-// takeOwn takes what boxes wrote themselves: their registrations, the order lease and the requests that are held.
-func (v *View) takeOwn(state mirror.State, changed []string) {
+// applyOwnRecords applies changed records that boxes wrote themselves: registrations, the order lease and requests
+// held by quarantine.
+func (v *View) applyOwnRecords(state mirror.State, changed []string) {
 	if len(changed) == 0 {
 		return
 	}
-	if v.takeBoxes(state, changed) {
+	if v.applyRegistrations(state, changed) {
 		v.config.Members.SetRegistered(v.boxes())
 	}
-	v.takeHeld(state, changed)
+	v.applyHeldRequests(state, changed)
 	v.config.OrderLease.Observe(state)
 }
 
-// registeredBox is a box as a revision of its record has it.
+// registeredBox is the decoded record of a box's registration.
 type registeredBox struct {
 	cluster.Box
-	// unusable means that the record names no box.
+	// unusable means that the record cannot be decoded or has no box name.
 	unusable bool
 }
 
-// takeBoxes takes the registrations that changed, and returns whether any did.
-func (v *View) takeBoxes(state mirror.State, changed []string) (any bool) {
-	prefix := v.config.Platform.OwnPrefix + boxPart
+// applyRegistrations applies the registrations that changed, and reports whether there were any.
+func (v *View) applyRegistrations(state mirror.State, changed []string) (applied bool) {
+	prefix := v.config.Platform.OwnPrefix + registrationKeySegment
 	for _, key := range changed {
 		if !strings.HasPrefix(key, prefix) {
 			continue
 		}
-		any = true
-		if record, held := state.Records.Get(key); held {
+		applied = true
+		if record, found := state.Records.Get(key); found {
 			v.boxByKey[key] = v.decodeBox(record, v.boxByKey[key].unusable)
 		} else {
 			delete(v.boxByKey, key)
 		}
 	}
-	return any
+	return applied
 }
 
-// boxes returns the registered boxes.
+// boxes returns the registered boxes, without unusable records.
 func (v *View) boxes() []cluster.Box {
 	list := make([]cluster.Box, 0, len(v.boxByKey))
 	for _, box := range v.boxByKey {
@@ -60,20 +61,21 @@
 	return list
 }
 
-// errNoBox is the error of a record that can be read and names no box.
-const errNoBox = errors.ConstError("no name: another writer's")
+// errUnnamedBox is the error of a record that can be decoded but has no box name.
+const errUnnamedBox = errors.ConstError("no name: another writer's")
 
-// decodeBox decodes a record. One that names no box is logged once until it names one, as it was not before.
-func (v *View) decodeBox(record kv.Record, was bool) registeredBox {
+// decodeBox decodes a registration. An unusable record is logged unless wasUnusable says that its previous revision
+// was unusable too.
+func (v *View) decodeBox(record kv.Record, wasUnusable bool) registeredBox {
 	box := registeredBox{}
 	err := json.Unmarshal(record.Value, &box.Box)
 	if err == nil && box.Name == "" {
-		err = errNoBox
+		err = errUnnamedBox
 	}
 	if err == nil {
 		return box
 	}
-	if !was {
+	if !wasUnusable {
 		v.config.Log.Warn("box record unreadable", zap.String("key", record.Key), logfield.Error(err))
 	}
 	return registeredBox{unusable: true}
--- a/internal/storeview/quarantine.go
+++ b/internal/storeview/quarantine.go
@@ -16,63 +16,65 @@
 	"ospreymoor.example/ospreymoor/pkg/quarantine"
 )
 
-// quarantinePart follows the own prefix in the keys of requests that are held.
-const quarantinePart = "quarantine/"
+// quarantineKeySegment follows OwnPrefix in the keys of requests held by quarantine.
+const quarantineKeySegment = "quarantine/"
 
 const (
-	// holdCheck is how often this box looks for requests to record. All boxes forget a request that is held when they lose
-	// power before it is recorded.
-	holdCheck = 250 * time.Millisecond
-	// holdRetry is the pause after a write that failed. As that of a registration.
-	holdRetry = time.Second
-	// witnessDelay is how long a box that saw a crash leaves the record to the box that keeps it. A write is on all boxes
-	// within half a second.
+	// holdCheckInterval is how often this box looks for held requests to record. If all boxes lose power before a held
+	// request is recorded, it is forgotten.
+	holdCheckInterval = 250 * time.Millisecond
+	// holdRetryDelay is the pause after a failed write, the same as for a registration.
+	holdRetryDelay = time.Second
+	// witnessDelay is how long a box that saw a crash leaves the record to the box that is responsible for it. A write
+	// reaches all boxes within half a second.
 	witnessDelay = 2 * time.Second
-	// maxHoldTTL is the longest lease of a record; it is made anew where the request is held for longer. Bound of the
-	// platform.
+	// maxHoldTTL is the longest lease of a record, a limit of the platform. If the request is held for longer, the
+	// record is written again.
 	maxHoldTTL = 10 * time.Minute
-	// leastHoldTTL is for how long a request must still be held to be recorded.
-	leastHoldTTL = 5 * time.Second
-	// holdTimeout bounds one call of the store.
-	holdTimeout = 2 * time.Second
+	// minRemainingHold is how long a request must still be held to be worth recording.
+	minRemainingHold = 5 * time.Second
+	// holdWriteTimeout bounds one call of the store.
+	holdWriteTimeout = 2 * time.Second
 )
 
-// HoldRecorder records requests that are held in the store, for boxes that start later. Each costs two calls, of one box or of a
-// few, while it has no record.
+// HoldRecorder writes requests held by quarantine to the store, so that boxes that start later hold them too. Each
+// request costs two calls of the store, from one box or from a few, until it has a record.
 type HoldRecorder struct {
 	Platform   Platform
 	Quarantine *quarantine.Register
 	// Records returns this box's copy of the store.
 	Records func() mirror.State
-	// Keeps reports whether this box is the one that records a request, ahead of those that saw a crash under it.
+	// Keeps reports whether this box is responsible for recording a request. Boxes that saw a crash under the request
+	// record it only after witnessDelay.
 	Keeps func(request string) bool
 	Log   *zap.Logger
 
-	// failing means that the last write failed.
+	// failing means that the latest write failed.
 	failing bool
 }
 
-// Run records what is to be until ctx ends.
+// Run records held requests until ctx ends.
 func (h *HoldRecorder) Run(ctx context.Context) {
-	wait := holdCheck
+	wait := holdCheckInterval
 	for pause.For(ctx, wait) == nil {
-		wait = holdCheck
+		wait = holdCheckInterval
 		if h.recordNext(ctx) != nil {
-			wait = holdRetry
+			wait = holdRetryDelay
 		}
 	}
 }
 
-// recordNext records one request that has no record yet, so that many at once do not flood the store.
+// recordNext records at most one held request that has no up-to-date record, so that many held requests do not flood
+// the store at once.
 func (h *HoldRecorder) recordNext(ctx context.Context) error {
 	records := h.Records().Records
 	for _, held := range h.Quarantine.Held() {
-		key := h.Platform.OwnPrefix + quarantinePart + held.Request.String()
-		recorded, _ := records.Get(key)
-		if tellsAsMuch(recorded, &held) || !h.mayRecord(&held) {
+		key := h.Platform.OwnPrefix + quarantineKeySegment + held.Request.String()
+		existing, _ := records.Get(key)
+		if isUpToDate(existing, &held) || !h.mayRecord(&held) {
 			continue
 		}
-		err := h.record(ctx, kv.Swap{Key: key, Revision: recorded.Revision}, &held)
+		err := h.record(ctx, kv.Swap{Key: key, Revision: existing.Revision}, &held)
 		if err != nil && !h.failing && ctx.Err() == nil {
 			h.Log.Info("held request not recorded: retrying", zap.Stringer("content", held.Request), logfield.Error(err))
 		}
@@ -82,24 +84,26 @@
 	return nil
 }
 
-// tellsAsMuch reports whether a record has as many crashes of a request as this box knows; the zero record has none.
-func tellsAsMuch(recorded kv.Record, held *quarantine.HeldRequest) bool {
+// isUpToDate reports whether a record has at least as many crashes of a request as this box knows. The zero record,
+// of a key that does not exist, is never up to date.
+func isUpToDate(existing kv.Record, held *quarantine.HeldRequest) bool {
 	var stored quarantine.Stored
-	// One that can't be read is written over, and takeHeld has logged it.
-	return json.Unmarshal(recorded.Value, &stored) == nil && stored.Crashes >= held.Stored.Crashes
+	// An unreadable record is overwritten; applyHeldRequests has logged it.
+	return json.Unmarshal(existing.Value, &stored) == nil && stored.Crashes >= held.Stored.Crashes
 }
 
 // mayRecord reports whether this box is to record a request now.
 func (h *HoldRecorder) mayRecord(held *quarantine.HeldRequest) bool {
-	if held.For < leastHoldTTL {
+	if held.For < minRemainingHold {
 		return false
 	}
 	return h.Keeps(held.Request.String()) || held.Seen && held.KnownFor >= witnessDelay
 }
 
-// record writes a record that ends with the hold. One that another box wrote meanwhile serves as well.
+// record writes a record under a lease that expires with the hold. If another box changed the record meanwhile, that
+// one will do.
 func (h *HoldRecorder) record(ctx context.Context, swap kv.Swap, held *quarantine.HeldRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
+	ctx, cancel := context.WithTimeout(ctx, holdWriteTimeout)
 	defer cancel()
 	value, err := json.Marshal(held.Stored)
 	if err != nil {
@@ -117,23 +121,23 @@
 	return err
 }
 
-// takeHeld takes in the store's records of requests that are held, those that changed.
-func (v *View) takeHeld(state mirror.State, changed []string) {
-	prefix := v.config.Platform.OwnPrefix + quarantinePart
+// applyHeldRequests applies the changed records of requests held by quarantine.
+func (v *View) applyHeldRequests(state mirror.State, changed []string) {
+	prefix := v.config.Platform.OwnPrefix + quarantineKeySegment
 	for _, key := range changed {
-		text, ok := strings.CutPrefix(key, prefix)
-		record, held := state.Records.Get(key)
-		if !ok || !held {
+		fingerprint, ok := strings.CutPrefix(key, prefix)
+		record, found := state.Records.Get(key)
+		if !ok || !found {
 			continue
 		}
-		if err := v.restore(text, record.Value); err != nil {
+		if err := v.restoreHeldRequest(fingerprint, record.Value); err != nil {
 			v.config.Log.Warn("record of a held request unreadable", zap.String("key", key), logfield.Error(err))
 		}
 	}
 }
 
-func (v *View) restore(text string, value []byte) error {
-	request, err := quarantine.ParseFingerprint(text)
+func (v *View) restoreHeldRequest(fingerprint string, value []byte) error {
+	request, err := quarantine.ParseFingerprint(fingerprint)
 	if err != nil {
 		return err
 	}
--- a/internal/storeview/quarantine_test.go
+++ b/internal/storeview/quarantine_test.go
@@ -21,7 +21,7 @@
 	content := quarantine.Content{URI: "/x"}
 	request := content.Fingerprint()
 	key := "own/quarantine/" + request.String()
-	// recorder returns one on a store in memory whose copy is always current, and its store.
+	// recorder returns a recorder on a store in memory, with a copy that is always current, and the store.
 	recorder := func(keeps bool) (*HoldRecorder, kv.Store) {
 		store := kv.NewMemory().Store()
 		return &HoldRecorder{
@@ -42,7 +42,7 @@
 		}
 		return string(record.Value)
 	}
-	// running runs f beside a recorder.
+	// running runs f while a recorder runs.
 	running := func(h *HoldRecorder, f func()) {
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -63,10 +63,10 @@
 			h, store := recorder(true)
 			running(h, func() {
 				crash(h.Quarantine, "e1", "e2")
-				time.Sleep(2 * holdCheck)
+				time.Sleep(2 * holdCheckInterval)
 				Expect(value(store)).To(Equal(`{"crashes":2}`))
 				crash(h.Quarantine, "e3")
-				time.Sleep(2 * holdCheck)
+				time.Sleep(2 * holdCheckInterval)
 				Expect(value(store)).To(Equal(`{"crashes":3}`))
 				time.Sleep(9 * time.Minute)
 				Expect(value(store)).To(Equal(`{"crashes":3}`))
@@ -109,15 +109,15 @@
 				Expect(calls.Load()).To(BeNumerically("~", 10, 1))
 				Expect(lines.Len()).To(Equal(1))
 				back.Store(true)
-				time.Sleep(2 * holdRetry)
+				time.Sleep(2 * holdRetryDelay)
 				Expect(value(store)).To(Equal(`{"crashes":2}`))
 			})
 		})
 	})
 
-	It("hold the request at a box that starts, and one that can't be read changes nothing of the others", func() {
+	It("hold the request on a box that starts, and unreadable ones do not affect the others", func() {
 		f := newFixture(kv.NewMemory().Store())
-		f.take(stateOf(3, map[string]string{
+		f.applyState(stateOf(3, map[string]string{
 			key: `{"crashes":3}`, "own/quarantine/0011223344556677": "{", "own/quarantine/nothing": `{"crashes":3}`,
 		}))
 		Expect(f.config.Quarantine.Verdict(request).Held).To(BeTrue())
--- a/internal/storeview/registration.go
+++ b/internal/storeview/registration.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// registrationTTL is how long a box that is gone stays listed: it is called in vain meanwhile, each two seconds, by
-	// few. A shorter one costs more renewals.
+	// registrationTTL is how long a box stays listed after it is gone. Until then a few other boxes call it in vain
+	// every two seconds. A shorter TTL costs more renewals.
 	registrationTTL = 30 * time.Second
-	// registrationRenewal is the time between renewals. A third of the TTL.
-	registrationRenewal = 10 * time.Second
-	// registrationRetry is the pause after a failure.
-	registrationRetry = time.Second
-	// deregisterTimeout bounds the end of the registration at a stop.
+	// renewalInterval is the time between renewals, a third of the TTL.
+	renewalInterval = 10 * time.Second
+	// registrationRetryDelay is the pause after a failed attempt.
+	registrationRetryDelay = time.Second
+	// deregisterTimeout bounds the call that revokes the registration when the box stops.
 	deregisterTimeout = time.Second
 )
 
@@ -33,46 +33,47 @@
 	box   cluster.Box
 	log   *zap.Logger
 
-	// lease is the last one that was granted; listed means that it still holds, as far as is known.
+	// lease is the lease of the latest registration; 0 before the first one. listed means that the lease is not known to
+	// be lost.
 	lease  kv.LeaseID
 	listed bool
-	// failing means that the last try failed.
+	// failing means that the latest attempt failed.
 	failing bool
 }
 
-// NewRegistration returns a registration of a box that is not listed yet.
+// NewRegistration returns the registration of a box. Run writes it to the store.
 func NewRegistration(platform Platform, box cluster.Box, log *zap.Logger) *Registration {
-	return &Registration{store: platform.Store, key: platform.OwnPrefix + boxPart + box.Name, box: box, log: log}
+	return &Registration{store: platform.Store, key: platform.OwnPrefix + registrationKeySegment + box.Name, box: box, log: log}
 }
 
-// Run keeps the box listed until ctx ends, and then ends the registration.
+// Run keeps the box listed until ctx ends, and then revokes the registration.
 func (r *Registration) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		_ = pause.For(ctx, r.next(ctx)) // The loop ends with ctx.
+		_ = pause.For(ctx, r.attempt(ctx)) // The loop ends with ctx.
 	}
 	if r.lease != 0 {
-		ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
+		revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 		defer cancel()
-		_ = r.store.Revoke(ending, r.lease) // Where that fails the registration runs out.
+		_ = r.store.Revoke(revokeCtx, r.lease) // If this fails, the registration expires with its lease.
 	}
 }
 
-// next registers or renews, and returns the time until the next call. The first failure in a row is
-// logged.
-func (r *Registration) next(ctx context.Context) time.Duration {
-	err := r.step(ctx)
+// attempt registers the box or renews its registration, and returns the time until the next attempt. Only the first
+// failure in a row is logged.
+func (r *Registration) attempt(ctx context.Context) time.Duration {
+	err := r.renewOrRegister(ctx)
 	if err != nil && !r.failing && ctx.Err() == nil {
 		r.log.Info("box not registered: retrying", logfield.Error(err))
 	}
 	r.failing = err != nil
 	if err != nil {
-		return registrationRetry
+		return registrationRetryDelay
 	}
-	return registrationRenewal
+	return renewalInterval
 }
 
-// step renews the registration, or registers where there is none.
-func (r *Registration) step(ctx context.Context) error {
+// renewOrRegister renews the registration, or registers the box if it has none.
+func (r *Registration) renewOrRegister(ctx context.Context) error {
 	if r.listed {
 		err := r.store.Renew(ctx, r.lease)
 		if !errors.Is(err, kv.ErrLeaseLost) {
@@ -83,8 +84,9 @@
 	return r.register(ctx)
 }
 
-// register writes the box's record under a new lease, also over that of an earlier process, which is read only
-// where there is one, which saves each box that starts a call.
+// register writes the box's record under a new lease. It first assumes that there is no record; the record of an
+// earlier process is read and overwritten only after a conflict. This saves a call for each box that starts without
+// one.
 func (r *Registration) register(ctx context.Context) error {
 	value, err := json.Marshal(r.box)
 	if err != nil {
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// replace writes the box's record over that of an earlier process.
+// replace overwrites the record of an earlier process.
 func (r *Registration) replace(ctx context.Context, swap kv.Swap) error {
 	earlier, err := r.store.Get(ctx, r.key)
 	if err != nil {
--- a/internal/storeview/size_bench_test.go
+++ b/internal/storeview/size_bench_test.go
@@ -14,7 +14,7 @@
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 )
 
-// changingBox is a box whose copy of the store has the entries of many upstreams, of which a few change at a time.
+// changingBox is a box whose copy of the store has the entries of many upstreams. A few of them change at a time.
 type changingBox struct {
 	mirror    *mirror.Mirror
 	upstreams int
@@ -41,7 +41,7 @@
 
 func upstreamKey(n int) string { return fmt.Sprintf("servers/e%05d", n) }
 
-// change has some entries change, and the box take that in.
+// change changes some entries and applies them to the box's copy.
 func (c *changingBox) change(entries int) {
 	delta := mirror.Delta{From: c.revision}
 	for range entries {
@@ -53,7 +53,7 @@
 	c.mirror.ApplyDelta(delta)
 }
 
-// bytesOf is how much memory f takes, in bytes.
+// bytesOf returns how many bytes f allocates.
 func bytesOf(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -62,8 +62,9 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Each box takes in the changes of all upstreams four times a second. While every change was taken for a whole new list, 20 entries that
-// changed of 10,000 took 51 ms of a core and 9.4 MB on each of 986 boxes, of which the smallest have a fifth of a core.
+// Each box applies the changes of all upstreams four times a second. If every change were handled as a whole new
+// list, 20 changed entries of 10,000 would take 51 ms of a core and 9.4 MB on each of 986 boxes. The smallest boxes
+// have a fifth of a core.
 var _ = Describe("what a change of a few entries costs a box", func() {
 	It("does not grow with the fleet", func() {
 		cost := map[int]uint64{}
@@ -81,7 +82,7 @@
 		Expect(cost[4000]).To(BeNumerically("<", 4*cost[60]))
 	})
 
-	It("does not grow with the fleet for the boxes that it is told to, also after many entries lapsed at once", func() {
+	It("does not grow with the fleet when it is passed on to other boxes, even after many entries lapsed at once", func() {
 		for _, upstreams := range []int{60, 1000, 4000} {
 			c := newChangingBox(upstreams)
 			known := c.revision
@@ -94,13 +95,13 @@
 			known = c.revision
 			c.mirror.ApplyDelta(lapsed)
 			delta := c.mirror.DeltaSince(known, 8192)
-			Expect(delta.Whole).To(BeFalse(), "names all keys")
+			Expect(delta.Whole).To(BeFalse(), "the delta lists all keys")
 			Expect(delta.Removed).To(HaveLen(upstreams / 3))
 		}
 	})
 })
 
-// entryOf is an engine's entry with names of its own, as decoding gives it.
+// entryOf returns an engine's entry as decoding returns it, with strings that it shares with no other entry.
 func entryOf(record kv.Record) fleet.Upstream {
 	n := record.Revision
 	name := func(kind string, n int64) string { return fmt.Sprint(kind, n) }
@@ -116,8 +117,9 @@
 	}
 }
 
-// A box has 64 MB for its control, before 20,000 upstreams; half of it is what the collector may leave. Entries whose names were copies of
-// their own, kept twice, with a map for each engine took 2,450 bytes each.
+// A box has 64 MB of memory for its control, for up to 20,000 upstreams. Half of it is left for garbage that is not
+// yet collected. Entries took 2,450 bytes each when every name was a copy of its own and kept twice, with a map for
+// each engine.
 var _ = Describe("the memory that an upstream takes of a box", func() {
 	It("leaves room for 20,000", func() {
 		const upstreams = 4000
@@ -129,7 +131,7 @@
 			return stats.HeapAlloc
 		}
 		f := newFixture(kv.NewMemory().Store())
-		f.config.Log = zap.NewNop() // The observer of the specs keeps each line.
+		f.config.Log = zap.NewNop() // The log observer of the fixture would keep each line.
 		f.config.Platform.DecodeUpstream = func(record kv.Record) (fleet.Upstream, error) { return entryOf(record), nil }
 		before := live()
 		for revision := int64(0); revision < upstreams; {
@@ -148,7 +150,7 @@
 	})
 })
 
-// BenchmarkChange is what one box does for 20 entries that change among all of a fleet.
+// BenchmarkChange measures what one box does for 20 changed entries of a fleet.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{60, 600, 3000, 10000} {
 		b.Run(fmt.Sprint(size, " upstreams"), func(b *testing.B) {
@@ -161,7 +163,7 @@
 	}
 }
 
-// BenchmarkDelta is what a relay does for one box of its hall, for as many changes.
+// BenchmarkDelta measures what a relay does for one box of its hall, for 20 changed entries.
 func BenchmarkDelta(b *testing.B) {
 	for _, size := range []int{60, 600, 3000, 10000} {
 		b.Run(fmt.Sprint(size, " upstreams"), func(b *testing.B) {
--- a/internal/storeview/storeview_test.go
+++ b/internal/storeview/storeview_test.go
@@ -28,7 +28,7 @@
 
 func TestStoreView(t *testing.T) { spectest.Run(t, "Store view") }
 
-// fixture is a view on a store in memory, and what it handed on.
+// fixture is a view on a store, with what the view passed to the owners of its parts.
 type fixture struct {
 	*View
 	members   *cluster.Members
@@ -80,7 +80,7 @@
 	return f
 }
 
-// stateOf is a copy of the store with records by key; each value is at the given revision.
+// stateOf returns a copy of the store whose records have the given values by key, all at the given revision.
 func stateOf(revision int64, records map[string]string) mirror.State {
 	var list []kv.Record
 	for key, value := range records {
@@ -92,7 +92,7 @@
 var _ = Describe("the view of the store", func() {
 	It("hands each part of the store to its owner", func() {
 		f := newFixture(kv.NewMemory().Store())
-		f.take(stateOf(3, map[string]string{
+		f.applyState(stateOf(3, map[string]string{
 			"config": "1", "servers/e1": "e1", "own/nodes/a": `{"name":"a","address":"a:1"}`,
 		}))
 		Expect(f.tables).To(HaveLen(1))
@@ -104,7 +104,7 @@
 
 	It("logs what it can't decode, and goes on with the rest", func() {
 		f := newFixture(kv.NewMemory().Store())
-		f.take(stateOf(3, map[string]string{
+		f.applyState(stateOf(3, map[string]string{
 			"config": "bad", "servers/e1": "bad", "servers/e2": "e2", "own/nodes/a": "{", "own/nodes/c": `{"name":"c"}`,
 		}))
 		Expect(f.directory.OfService("s")).To(HaveLen(1))
@@ -120,13 +120,13 @@
 			f := newFixture(kv.NewMemory().Store())
 			records := map[string]string{}
 			revision := int64(1)
-			for round := range 40 { // 20 a change, 80 a second.
+			for round := range 40 { // 20 upstreams join per change, 80 per second.
 				for n := range 20 {
 					key := fmt.Sprint("e", round, "-", n)
 					records["servers/"+key] = key
 				}
 				revision++
-				f.take(stateOf(revision, records))
+				f.applyState(stateOf(revision, records))
 				time.Sleep(250 * time.Millisecond)
 			}
 			named, counted := f.logged.FilterMessage("upstream joined").Len(), int64(0)
@@ -138,11 +138,11 @@
 		})
 	})
 
-	It("logs an entry that names no upstream once for each reason, and uses the upstream again once it is named", func() {
+	It("logs an unusable entry once for each reason, and uses the upstream again once its entry is readable", func() {
 		f := newFixture(kv.NewMemory().Store())
 		f.config.Metrics = metrics.NewSet()
 		for revision, value := range []string{"e1", "bad", "bad", "bad", "e1", "bad"} {
-			f.take(stateOf(int64(3+revision), map[string]string{"servers/e1": value, "servers/e2": "e2", "own/nodes/a": "{"}))
+			f.applyState(stateOf(int64(3+revision), map[string]string{"servers/e1": value, "servers/e2": "e2", "own/nodes/a": "{"}))
 			Expect(f.directory.Get("e2")).NotTo(BeNil())
 			Expect(f.directory.Get("e1") != nil).To(Equal(value == "e1"), "%d", revision)
 		}
@@ -153,7 +153,7 @@
 
 	It("warns once of a key that two customers have", func() {
 		f := newFixture(kv.NewMemory().Store())
-		f.take(stateOf(3, map[string]string{"config": "shared key"}))
+		f.applyState(stateOf(3, map[string]string{"config": "shared key"}))
 		lines := f.logged.FilterMessage("customers have a key in common, which names none of them: give each its own")
 		Expect(lines.Len()).To(Equal(1))
 		Expect(lines.All()[0].ContextMap()["customers"]).To(Equal([]any{"c1", "c2"}))
@@ -162,13 +162,13 @@
 	It("decodes a configuration once", func() {
 		f := newFixture(kv.NewMemory().Store())
 		state := stateOf(3, map[string]string{"config": "1"})
-		f.take(state)
+		f.applyState(state)
 		state.Revision = 4
-		f.take(state)
+		f.applyState(state)
 		Expect(f.tables).To(HaveLen(1))
 	})
 
-	It("has upstreams that went forgotten", func() {
+	It("calls Forget for removed upstreams", func() {
 		f := newFixture(kv.NewMemory().Store())
 		f.NoteChanges([]fleet.Change{
 			{Kind: fleet.Joined, Upstream: fleet.Upstream{ID: "e1"}},
@@ -178,7 +178,7 @@
 	})
 })
 
-// BenchmarkRegistrations takes in one more registration of a large fleet.
+// BenchmarkRegistrations applies one changed registration of a large fleet.
 func BenchmarkRegistrations(b *testing.B) {
 	RegisterFailHandler(func(message string, _ ...int) { b.Fatal(message) })
 	f := newFixture(kv.NewMemory().Store())
@@ -187,12 +187,12 @@
 		name := fmt.Sprintf("n%03d", n)
 		records["own/nodes/"+name] = fmt.Sprintf(`{"name":%q,"zone":"h","address":"10.1.0.1:8504","incarnation":"5f0c9a52-3f1a-4d43-9e0e-5a4f1b6a0c11","cores":0.192}`, name)
 	}
-	f.take(stateOf(1, records))
+	f.applyState(stateOf(1, records))
 	key := "own/nodes/n007"
-	record, _ := f.last.Get(key)
+	record, _ := f.lastRecords.Get(key)
 	for b.Loop() {
 		record.Revision++
-		f.take(mirror.State{Revision: record.Revision, Records: mirrortest.Records(record), Changed: []string{key}})
+		f.applyState(mirror.State{Revision: record.Revision, Records: mirrortest.Records(record), Changed: []string{key}})
 	}
 }
 
@@ -200,21 +200,21 @@
 	It("is always by the box that ranks first", func() {
 		f := newFixture(kv.NewMemory().Store())
 		f.members.SetRegistered([]cluster.Box{{Name: "b"}})
-		Expect(f.pollTimeout()).To(Equal(firstPoll))
-		Expect(f.batchDelay()).To(Equal(otherBatch))
+		Expect(f.pollTimeout()).To(Equal(firstWatcherPollTimeout))
+		Expect(f.batchDelay()).To(Equal(otherBatchDelay))
 		Expect(f.pollAhead()).To(BeTrue())
 		f.mirror.ConfirmCurrent(0, time.Now())
-		Expect(f.paused()).To(BeFalse())
+		Expect(f.mayPause()).To(BeFalse())
 	})
 })
 
 var _ = Describe("a box that has just started", func() {
-	It("lets the boxes that start with it register before it asks again", func() {
+	It("lets the boxes that start with it register before it polls again", func() {
 		f := newFixture(kv.NewMemory().Store())
-		Expect(f.batchDelay()).To(Equal(joinBatch))
+		Expect(f.batchDelay()).To(Equal(joinBatchDelay))
 		Expect(f.pollAhead()).To(BeFalse())
-		f.take(stateOf(3, map[string]string{"own/nodes/b": `{"name":"b","address":"b:1"}`}))
-		Expect(f.batchDelay()).To(Equal(otherBatch))
+		f.applyState(stateOf(3, map[string]string{"own/nodes/b": `{"name":"b","address":"b:1"}`}))
+		Expect(f.batchDelay()).To(Equal(otherBatchDelay))
 	})
 })
 
@@ -235,7 +235,7 @@
 			Expect(listed()).To(Succeed())
 			Expect(store.Revoke(context.Background(), registration.lease)).To(Succeed())
 			Expect(listed()).To(MatchError(kv.ErrNotFound))
-			time.Sleep(2 * registrationRenewal)
+			time.Sleep(2 * renewalInterval)
 			synctest.Wait()
 			Expect(listed()).To(Succeed())
 			cancel()
@@ -258,18 +258,18 @@
 			core, logged := observer.New(zap.InfoLevel)
 			registration := NewRegistration(Platform{Store: store, OwnPrefix: "own/"}, cluster.Box{Name: "b"}, zap.New(core))
 			for range 5 {
-				Expect(registration.next(context.Background())).To(Equal(registrationRetry))
+				Expect(registration.attempt(context.Background())).To(Equal(registrationRetryDelay))
 			}
 			Expect(logged.Len()).To(Equal(1))
 			failing = false
-			Expect(registration.next(context.Background())).To(Equal(registrationRenewal))
+			Expect(registration.attempt(context.Background())).To(Equal(renewalInterval))
 			Expect(registration.listed).To(BeTrue())
 		})
 	})
 })
 
 var _ = Describe("a follower of a relay", func() {
-	It("asks the store once nothing arrives of what it lacks, and not while its copy is confirmed", func() {
+	It("polls the store when a newer copy stops arriving, and not while its copy is confirmed", func() {
 		spectest.Bubble(func() {
 			f := newFixture(kv.NewMemory().Store())
 			boxes := []cluster.Box{{Name: "b", Address: "b:1"}}
@@ -280,18 +280,18 @@
 			f.members.SetRegistered(boxes)
 			Expect(f.members.FollowsRelay()).To(BeTrue())
 			m := f.View.Mirror()
-			Expect(f.paused()).To(BeFalse(), "it has no copy")
+			Expect(f.mayPause()).To(BeFalse(), "it has no copy")
 			Expect(m.ApplyDelta(mirror.Delta{Revision: 5})).To(BeTrue())
 			m.ConfirmCurrent(9, time.Now())
-			Expect(f.paused()).To(BeTrue(), "a newer copy is arriving")
-			time.Sleep(maxFollowerStaleness + stalenessSpread)
-			Expect(f.paused()).To(BeFalse(), "nothing arrived since")
-			By("being confirmed, while a later copy is known that has yet to arrive")
+			Expect(f.mayPause()).To(BeTrue(), "a newer copy is arriving")
+			time.Sleep(maxFollowerStaleness + maxStalenessJitter)
+			Expect(f.mayPause()).To(BeFalse(), "nothing arrived since")
+			By("confirming its copy while a newer copy is known but has not arrived")
 			Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 9})).To(BeTrue())
 			time.Sleep(10 * time.Second)
 			m.ConfirmCurrent(9, time.Now())
 			m.ConfirmCurrent(10, time.Now())
-			Expect(f.paused()).To(BeTrue())
+			Expect(f.mayPause()).To(BeTrue())
 		})
 	})
 })
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -20,69 +20,71 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// Config is what a view works with: the owners of what it decodes.
+// Config holds the settings of a View and the components to which it passes what it decodes.
 type Config struct {
 	Platform   Platform
 	Directory  *fleet.Directory
 	Members    *cluster.Members
 	OrderLease *orderlease.Lease
-	// Quarantine takes the requests that are held.
+	// Quarantine receives the store's records of requests held by quarantine.
 	Quarantine *quarantine.Register
-	// SetTable puts a configuration in force, and returns whether it was newer.
+	// SetTable puts a configuration in force, and reports whether it was newer than the one before.
 	SetTable func(*routes.Table) bool
-	// Forget is called with the id of each upstream that is gone.
+	// Forget is called with the id of each upstream that is removed from the directory.
 	Forget func(upstream string)
-	// ReadsWhole means that this box reads the store whole when it starts, as one that others ask for a first copy.
+	// ReadsWhole means that this box reads the whole store when it starts, so that other boxes can ask it for a first
+	// copy.
 	ReadsWhole bool
-	// Metrics counts entries that name no upstream; nil counts none.
+	// Metrics counts entries that name no usable upstream; nil counts none.
 	Metrics *metrics.Set
 	Log     *zap.Logger
 }
 
-// View is the copy of the store, and what is decoded from it.
+// View holds this box's copy of the store and what was decoded from it.
 type View struct {
 	config Config
 	mirror *mirror.Mirror
-	// spread is this box's part of stalenessSpread.
-	spread time.Duration
-	// following is the reason for which this box asked the store last; empty while others keep its copy up to date. The mirror's own
-	// goroutine alone uses it.
-	following followReason
-	// awaitsUntil is until when this box awaits a first copy of a large store from others.
-	awaitsUntil time.Time
-	// changeLines bounds the log of what changes in the list of upstreams.
-	changeLines lineBudget
-	// evacuatedHalls counts them, for a metric.
+	// jitter is what this box adds to the limits of staleness; see maxStalenessJitter.
+	jitter time.Duration
+	// lastFollowReason is the reason why this box follows the store itself; empty while other boxes keep its copy up to
+	// date. Only the mirror's goroutine uses it.
+	lastFollowReason followReason
+	// copyWaitDeadline is when this box stops waiting for a first copy of a large store from other boxes.
+	copyWaitDeadline time.Time
+	// changeLogLimit limits the log lines about changes in the list of upstreams.
+	changeLogLimit logLimit
+	// evacuatedHalls is the number of evacuated halls, for a metric.
 	evacuatedHalls atomic.Int64
 
-	// All below is changed by take alone, which runs once at a time.
+	// The fields below are changed only by applyState, which never runs concurrently with itself.
 
-	// last are the records of the copy that was taken last.
-	last mirror.Records
-	// upstreams are the ids that the last list's entries name, by key, and unusable why others name no upstream to use.
-	upstreams map[string]string
-	unusable  map[string]string
-	// boxByKey are the boxes of the last list, by key.
+	// lastRecords are the records of the copy that was applied last.
+	lastRecords mirror.Records
+	// upstreamIDs has the upstream's id by the key of its entry. unusableReasons has, by key, why an entry names no
+	// usable upstream.
+	upstreamIDs     map[string]string
+	unusableReasons map[string]string
+	// boxByKey has the latest registration of each key.
 	boxByKey map[string]registeredBox
-	// evacuated are the halls that are evacuated.
+	// evacuated is the set of evacuated halls.
 	evacuated map[string]bool
 }
 
-// New returns a view without a copy; Run fills it.
+// New returns a view without a copy of the store. Run fetches and updates the copy.
 func New(config Config) *View {
 	v := &View{
-		config: config, spread: rand.N(stalenessSpread), awaitsUntil: time.Now().Add(copyWait + rand.N(copySpread)),
-		upstreams: map[string]string{}, unusable: map[string]string{}, boxByKey: map[string]registeredBox{}, evacuated: map[string]bool{},
+		config: config, jitter: rand.N(maxStalenessJitter), copyWaitDeadline: time.Now().Add(minCopyWait + rand.N(maxCopyWaitJitter)),
+		upstreamIDs: map[string]string{}, unusableReasons: map[string]string{}, boxByKey: map[string]registeredBox{}, evacuated: map[string]bool{},
 	}
 	v.mirror = &mirror.Mirror{
 		Store:          config.Platform.Store,
-		OnChange:       v.take,
+		OnChange:       v.applyState,
 		BatchDelay:     v.batchDelay,
 		PollTimeout:    v.pollTimeout,
 		PollAhead:      v.pollAhead,
-		Paused:         v.paused,
-		AwaitsCopy:     v.awaitsCopy,
-		OnPart:         v.takePart,
+		Paused:         v.mayPause,
+		AwaitsCopy:     v.mayAwaitCopy,
+		OnPart:         v.applyPartialSnapshot,
 		OnConnectivity: v.logConnectivity,
 	}
 	if config.Metrics != nil {
@@ -94,7 +96,7 @@
 // Run follows the store until ctx ends.
 func (v *View) Run(ctx context.Context) { v.mirror.Run(ctx) }
 
-// Mirror is the copy of all that the store holds.
+// Mirror returns this box's copy of the store.
 func (v *View) Mirror() *mirror.Mirror { return v.mirror }
 
 func (v *View) logConnectivity(err error) {
@@ -105,54 +107,55 @@
 	}
 }
 
-// take takes in a new copy. The mirror calls it, one call at a time. Its cost goes with what changed.
-func (v *View) take(state mirror.State) {
-	changes := v.changesOf(state)
-	v.last = state.Records
-	v.takeTable(state, changes.config)
-	evacuations := v.takeEvacuations(state, changes.evacuations)
-	v.takeUpstreams(state, changes.upstreams)
+// applyState applies a new state of the copy. The mirror makes one call at a time. The cost grows with the number of
+// changed records, not with the size of the store.
+func (v *View) applyState(state mirror.State) {
+	changes := v.groupChangedKeys(state)
+	v.lastRecords = state.Records
+	v.applyTable(state, changes.config)
+	evacuations := v.applyEvacuations(state, changes.evacuations)
+	v.applyUpstreams(state, changes.upstreams)
 	v.logEvacuations(&evacuations, state)
-	v.takeOwn(state, changes.own)
+	v.applyOwnRecords(state, changes.own)
 }
 
-// changes are the keys whose records changed, by what they are of.
-type changes struct{ config, evacuations, upstreams, own []string }
+// changedKeys are the keys whose records changed, grouped by what the records describe.
+type changedKeys struct{ config, evacuations, upstreams, own []string }
 
-// changesOf sorts the keys whose records changed.
-func (v *View) changesOf(state mirror.State) changes {
+// groupChangedKeys returns the keys whose records changed, grouped by their prefix.
+func (v *View) groupChangedKeys(state mirror.State) changedKeys {
 	keys := state.Changed
 	if keys == nil {
-		keys = v.last.Difference(state.Records)
+		keys = v.lastRecords.Difference(state.Records)
 	}
 	platform := &v.config.Platform
-	var sorted changes
+	var grouped changedKeys
 	for _, key := range keys {
 		switch {
 		case strings.HasPrefix(key, platform.UpstreamPrefix):
-			sorted.upstreams = append(sorted.upstreams, key)
+			grouped.upstreams = append(grouped.upstreams, key)
 		case strings.HasPrefix(key, platform.OwnPrefix):
-			sorted.own = append(sorted.own, key)
+			grouped.own = append(grouped.own, key)
 		case platform.EvacuationPrefix != "" && strings.HasPrefix(key, platform.EvacuationPrefix):
-			sorted.evacuations = append(sorted.evacuations, key)
+			grouped.evacuations = append(grouped.evacuations, key)
 		case strings.HasPrefix(key, platform.ConfigPrefix):
-			sorted.config = append(sorted.config, key)
+			grouped.config = append(grouped.config, key)
 		}
 	}
-	return sorted
+	return grouped
 }
 
-// takeTable puts a new configuration in force.
-func (v *View) takeTable(state mirror.State, changed []string) {
+// applyTable decodes a changed configuration and puts it in force.
+func (v *View) applyTable(state mirror.State, changed []string) {
 	if len(changed) == 0 {
 		return
 	}
-	begun := time.Now()
+	start := time.Now()
 	var newest int64
 	bytes := 0
 	records := map[string]kv.Record{}
 	for _, key := range changed {
-		if record, held := state.Records.Get(key); held {
+		if record, found := state.Records.Get(key); found {
 			records[key] = record
 			newest = max(newest, record.Revision)
 			bytes += len(record.Value)
@@ -170,7 +173,7 @@
 			zap.Int("routes", len(table.Routes)),
 			zap.Int("bytes", bytes),
 			zap.String("origin", string(state.Origin)),
-			zap.Duration("took", time.Since(begun)))
+			zap.Duration("took", time.Since(start)))
 		if disputed := table.Customers.Disputed(); len(disputed) > 0 {
 			v.config.Log.Warn("customers have a key in common, which names none of them: give each its own",
 				zap.Int64("version", table.Version), zap.Strings("customers", disputed))
--- a/internal/storeview/watch.go
+++ b/internal/storeview/watch.go
@@ -10,41 +10,45 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// When the store is asked. Two boxes of the fleet (see cluster.Members.WatchRank) and the holder of the order lease ask
-// it all the time by a watch, so that changes that a silent watch did not send are found soon, and a large
-// configuration comes to several halls at once. The others learn of changes by the exchange, and ask only when their copy
-// is not known to be current any more, because each answer of a watch is a call of the store.
+// These constants set when a box polls the store. Two boxes of the fleet (see cluster.Members.WatchRank) and the
+// holder of the order lease watch it all the time. So changes that a silent watch did not send are found soon, and a
+// large configuration reaches several halls at once. The other boxes learn of changes by the exchange between boxes.
+// They poll the store only when their copy is no longer known to be current, because each answer of a watch is a call
+// of the store.
 const (
-	// holderBatch is for how long changes are gathered on the holder of the order lease, which
-	// waits for the ends of its orders, and otherBatch on the other boxes.
-	holderBatch = 150 * time.Millisecond
-	otherBatch  = 250 * time.Millisecond
-	// joinBatch is for how long changes are gathered by a box that the store has yet to list. Boxes that start
-	// together register meanwhile, so that its first poll shows it whom it follows. Half of what a box that
-	// follows a relay may be behind. Those that read the store whole go on asking: else nobody would.
-	joinBatch = time.Second
-	// firstPoll is how long a watch may be silent on the first watching box, and otherPoll on the
-	// others. A compaction silences watches, and a configuration is to be in force on all boxes within 5 s.
-	firstPoll = 400 * time.Millisecond
-	otherPoll = 800 * time.Millisecond
-	// maxStaleness is how old the copy may be on a box that does not ask, and maxFollowerStaleness
-	// on one that follows a relay. Up to stalenessSpread is added, another time on each box, so
-	// that not all ask at once.
+	// holderBatchDelay is how long changes are gathered into a batch on the holder of the order lease, which waits for
+	// its orders to end. otherBatchDelay is the same for other boxes.
+	holderBatchDelay = 150 * time.Millisecond
+	otherBatchDelay  = 250 * time.Millisecond
+	// joinBatchDelay is how long a box gathers changes while the store does not list it yet. Boxes that start together
+	// register in that time, so that the first poll shows the box which relay to follow. It is half of what a box that
+	// follows a relay may be behind. Boxes that read the whole store do not wait, or else nobody would poll it.
+	joinBatchDelay = time.Second
+	// firstWatcherPollTimeout is how long a watch may be silent on the box with watch rank 0, and otherPollTimeout on
+	// the others. A compaction silences watches, and a configuration has to be in force on all boxes within 5 s.
+	firstWatcherPollTimeout = 400 * time.Millisecond
+	otherPollTimeout        = 800 * time.Millisecond
+	// maxStaleness is how old the copy may be on a box that does not poll the store, and maxFollowerStaleness on a box
+	// that follows a relay. Each box adds a random time of up to maxStalenessJitter, so that not all poll at once.
 	maxStaleness         = 900 * time.Millisecond
 	maxFollowerStaleness = 1300 * time.Millisecond
-	stalenessSpread      = 600 * time.Millisecond
-	// copyWait is for how long a box that starts awaits the copy of another one where the store is too large for each to read it whole.
-	// Up to copySpread is added, another time on each box, so that where nobody has one some read it, and the others get it from them.
-	copyWait   = 4 * time.Second
-	copySpread = 4 * time.Second
+	maxStalenessJitter   = 600 * time.Millisecond
+	// minCopyWait is how long a box that starts waits for another box's copy, where the store is too large for every box
+	// to read it whole. Each box adds a random time of up to maxCopyWaitJitter: if no box has a copy, some read the
+	// store, and the others get the copy from them.
+	minCopyWait       = 4 * time.Second
+	maxCopyWaitJitter = 4 * time.Second
 )
 
-// awaitsCopy reports whether a first copy of a large store is awaited from other boxes.
-func (v *View) awaitsCopy() bool { return !v.config.ReadsWhole && time.Now().Before(v.awaitsUntil) }
+// mayAwaitCopy reports whether this box may still wait for a first copy of a large store from other boxes.
+func (v *View) mayAwaitCopy() bool {
+	return !v.config.ReadsWhole && time.Now().Before(v.copyWaitDeadline)
+}
 
-// takePart takes the boxes that the first records of a large store name, so that they can be asked for the rest.
-func (v *View) takePart(records []kv.Record) {
-	prefix := v.config.Platform.OwnPrefix + boxPart
+// applyPartialSnapshot registers the boxes that are among the first records of a large store, so that they can be
+// asked for the rest.
+func (v *View) applyPartialSnapshot(records []kv.Record) {
+	prefix := v.config.Platform.OwnPrefix + registrationKeySegment
 	var list []cluster.Box
 	for _, record := range records {
 		if !strings.HasPrefix(record.Key, prefix) {
@@ -58,27 +62,27 @@
 	v.config.Members.SetRegistered(list)
 }
 
-// batchDelay is for how long changes are gathered before the store is asked for more.
+// batchDelay returns how long changes are gathered before the store is polled for more.
 func (v *View) batchDelay() time.Duration {
 	switch {
 	case v.config.OrderLease.Held():
-		return holderBatch
+		return holderBatchDelay
 	case !v.config.Members.Listed() && !v.config.ReadsWhole:
-		return joinBatch
+		return joinBatchDelay
 	}
-	return otherBatch
+	return otherBatchDelay
 }
 
-// pollTimeout is how long the store may hold back the answer of a watch without changes.
+// pollTimeout returns how long the store may delay the answer to a poll while nothing changes.
 func (v *View) pollTimeout() time.Duration {
 	if v.config.Members.WatchRank() == 0 {
-		return firstPoll
+		return firstWatcherPollTimeout
 	}
-	return otherPoll
+	return otherPollTimeout
 }
 
-// pollAhead reports whether the store is asked again while changes gather: on the boxes that watch it all the time, by
-// which a large configuration reaches all others.
+// pollAhead reports whether the store is polled again while changes are gathered. This holds for the boxes that watch
+// it all the time, because a large configuration reaches all other boxes through them.
 func (v *View) pollAhead() bool {
 	if !v.config.Members.Listed() {
 		return false
@@ -86,29 +90,30 @@
 	return v.config.OrderLease.Held() || v.config.Members.WatchRank() < cluster.Watchers
 }
 
-// followReason is why a box asks the store itself; empty if others keep its copy up to date.
+// followReason is why a box follows the store itself; empty if other boxes keep its copy up to date.
 type followReason string
 
-// The reasons.
+// The reasons to follow the store.
 const (
-	// followsForAll: it is one of those that watch the store for all.
+	// followsForAll means that the box is one of those that watch the store for all boxes.
 	followsForAll followReason = "watches for all boxes"
-	// followsAsHolder: it holds the order lease.
+	// followsAsHolder means that the box holds the order lease.
 	followsAsHolder followReason = "holds the order lease"
-	// followsUnconfirmed: no copy that it has reached was ever known to be current.
+	// followsUnconfirmed means that the box's copy was never confirmed to be current.
 	followsUnconfirmed followReason = "copy never confirmed"
-	// followsStale: its copy was not known to be current for too long.
+	// followsStale means that the latest confirmation of the box's copy is too old.
 	followsStale followReason = "copy not confirmed in time"
 )
 
-// paused reports whether the store need not be asked, because other boxes confirm the copy in good
-// time. A copy that was never current is always asked for.
-func (v *View) paused() bool {
+// mayPause reports whether this box need not poll the store, because other boxes confirm its copy in good time. A box
+// whose copy was never confirmed has to poll, unless it follows a relay and a newer copy is arriving.
+func (v *View) mayPause() bool {
 	reason := v.followReason()
-	v.noteFollowing(reason)
+	v.logFollowReason(reason)
 	return reason == ""
 }
 
+// followReason returns why this box has to follow the store itself; empty if it need not.
 func (v *View) followReason() followReason {
 	if v.config.Members.WatchRank() < cluster.Watchers {
 		return followsForAll
@@ -119,8 +124,9 @@
 	limit, age := maxStaleness, v.mirror.Staleness()
 	if v.config.Members.FollowsRelay() {
 		limit = maxFollowerStaleness
-		// While entries change faster than copies travel, hardly any copy is ever current. If all boxes of a large fleet asked the store
-		// then, its link would carry every change to each of them, and they would be further behind.
+		// While entries change faster than copies spread between boxes, hardly any copy is ever current. If all boxes
+		// of a large fleet polled the store then, its link would carry every change to each of them, and their copies
+		// would fall further behind.
 		if arriving := v.mirror.Arriving(); arriving >= 0 && (age < 0 || arriving < age) {
 			age = arriving
 		}
@@ -128,18 +134,19 @@
 	switch {
 	case age < 0:
 		return followsUnconfirmed
-	case age >= limit+v.spread:
+	case age >= limit+v.jitter:
 		return followsStale
 	}
 	return ""
 }
 
-// noteFollowing logs when this box begins to ask the store itself, for another reason, or leaves it to other boxes.
-func (v *View) noteFollowing(reason followReason) {
-	if reason == v.following {
+// logFollowReason logs when this box begins to follow the store, follows it for another reason, or stops following
+// it.
+func (v *View) logFollowReason(reason followReason) {
+	if reason == v.lastFollowReason {
 		return
 	}
-	v.following = reason
+	v.lastFollowReason = reason
 	if reason == "" {
 		v.config.Log.Info("store left to other boxes", zap.Int64("revision", v.mirror.State().Revision))
 		return
