--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -77,15 +77,15 @@
 		upstreamIDs: map[string]string{}, unusableReasons: map[string]string{}, boxByKey: map[string]registeredBox{}, evacuated: map[string]bool{},
 	}
 	v.mirror = &mirror.Mirror{
-		Store:          config.Platform.Store,
-		OnChange:       v.applyState,
-		BatchDelay:     v.batchDelay,
-		PollTimeout:    v.pollTimeout,
-		PollAhead:      v.pollAhead,
-		Paused:         v.mayPause,
-		AwaitsCopy:     v.mayAwaitCopy,
-		OnPart:         v.applyPartialSnapshot,
-		OnConnectivity: v.logConnectivity,
+		Store:             config.Platform.Store,
+		OnChange:          v.applyState,
+		BatchDelay:        v.batchDelay,
+		PollTimeout:       v.pollTimeout,
+		PollAhead:         v.pollAhead,
+		Paused:            v.mayPause,
+		MayAwaitCopy:      v.mayAwaitCopy,
+		OnPartialSnapshot: v.applyPartialSnapshot,
+		OnConnectivity:    v.logConnectivity,
 	}
 	if config.Metrics != nil {
 		config.Metrics.NewGauge("ospreymoor_evacuated_halls", func() float64 { return float64(v.evacuatedHalls.Load()) })
--- a/internal/storeview/watch.go
+++ b/internal/storeview/watch.go
@@ -127,8 +127,8 @@
 		// While entries change faster than copies spread between boxes, hardly any copy is ever current. If all boxes
 		// of a large fleet polled the store then, its link would carry every change to each of them, and their copies
 		// would fall further behind.
-		if arriving := v.mirror.Arriving(); arriving >= 0 && (age < 0 || arriving < age) {
-			age = arriving
+		if arrivalAge := v.mirror.ArrivalAge(); arrivalAge >= 0 && (age < 0 || arrivalAge < age) {
+			age = arrivalAge
 		}
 	}
 	switch {
@@ -158,6 +158,6 @@
 		zap.Bool("listed", v.config.Members.Listed()),
 		zap.Int("boxes", v.config.Members.Boxes()),
 		zap.Duration("staleness", v.mirror.Staleness()),
-		zap.Duration("arriving", v.mirror.Arriving()),
+		zap.Duration("arriving", v.mirror.ArrivalAge()),
 		zap.Int64("revision", v.mirror.State().Revision))
 }
--- a/pkg/mirror/follow.go
+++ b/pkg/mirror/follow.go
@@ -12,95 +12,96 @@
 )
 
 const (
-	// firstRetryPause is the pause after the service broke off or refused. It doubles with each
-	// further time up to longRetryPause, so that a service that is away is not flooded while its
-	// return is noticed soon. It begins anew once a watch lasted longer than longRetryPause.
-	firstRetryPause = 100 * time.Millisecond
-	// longRetryPause bounds it.
-	longRetryPause = time.Second
-	// pausedCheck is how often a paused mirror looks whether it should ask again.
-	pausedCheck = 100 * time.Millisecond
-	// lostRetry is how often a paused mirror asks a service that it lost, so that this box knows
-	// whether it reaches the service.
-	lostRetry = 2 * time.Second
+	// minRetryDelay is the delay after the first failed call or broken watch. It doubles with each further failure up
+	// to maxRetryDelay, so that an unreachable store is not flooded and its return is still noticed soon. It is reset
+	// once a watch lasted longer than maxRetryDelay.
+	minRetryDelay = 100 * time.Millisecond
+	// maxRetryDelay is the longest delay between retries.
+	maxRetryDelay = time.Second
+	// pauseCheckInterval is how often a paused mirror checks whether it should poll again.
+	pauseCheckInterval = 100 * time.Millisecond
+	// lostRetryInterval is how often a paused mirror calls a store that it lost, so that this box knows whether it
+	// reaches the store.
+	lostRetryInterval = 2 * time.Second
 )
 
-// Run follows the service until ctx ends.
+// Run keeps the copy up to date until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
-	wait := firstRetryPause
+	wait := minRetryDelay
 	complete := false
 	for ctx.Err() == nil {
-		if m.shouldPause() || m.awaitsCopy() {
-			_ = pause.For(ctx, pausedCheck) // Fails only when ctx ends, which ends the loop.
+		if m.shouldPause() || m.awaitingCopy() {
+			_ = pause.For(ctx, pauseCheckInterval) // Fails only when ctx ends, which ends the loop.
 			continue
 		}
-		begun := time.Now()
+		start := time.Now()
 		complete = m.follow(ctx, complete)
 		if complete {
 			continue
 		}
-		if time.Since(begun) > longRetryPause {
-			wait = firstRetryPause
+		if time.Since(start) > maxRetryDelay {
+			wait = minRetryDelay
 		}
 		if pause.For(ctx, wait) != nil {
 			return
 		}
-		wait = min(2*wait, longRetryPause)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-// shouldPause reports whether the service need not be asked now: this mirror has a copy, other boxes
-// keep it up to date, and a lost service was tried lately.
+// shouldPause reports whether the store need not be polled now: this mirror has a copy, other boxes keep it up to
+// date, and if the store is lost, it was tried recently.
 func (m *Mirror) shouldPause() bool {
 	m.mu.Lock()
-	due := m.state.Revision == 0 || (m.connection.lost && time.Since(m.connection.triedAt) > lostRetry)
+	due := m.state.Revision == 0 || (m.connection.lost && time.Since(m.connection.lastAttempt) > lostRetryInterval)
 	m.mu.Unlock()
 	return !due && m.Paused != nil && m.Paused()
 }
 
-// follow takes in changes until the service breaks off, or until the mirror should pause. If the
-// state is complete, nothing was missed since, and the watch goes on from its revision, after the
-// records that the copy lacks were read; if not, a snapshot is read first. It returns whether the
-// state is complete at the end.
+// follow applies changes until a call fails, the watch ends or the mirror should pause. If the state is complete, no
+// change before its revision was missed: follow reads the records that the copy lacks and watches on from the
+// revision. If not, it reads a snapshot first. It reports whether the state is complete at the end.
 func (m *Mirror) follow(ctx context.Context, complete bool) bool {
 	m.mu.Lock()
-	m.connection.triedAt = time.Now()
-	// A first copy of another box is complete: to read the service whole after it would cost each box that starts a snapshot.
-	complete = complete || m.copied
-	m.copied = false
+	m.connection.lastAttempt = time.Now()
+	// A first copy from another box is complete: reading the whole store after it would cost each starting box a
+	// snapshot.
+	complete = complete || m.copiedFromPeers
+	m.copiedFromPeers = false
 	m.mu.Unlock()
 	if !complete {
-		snapshot, whole, err := m.readFirst(ctx)
+		snapshot, whole, err := m.readSnapshot(ctx)
 		m.noteConnectivity(err)
 		if err != nil || !whole {
 			return false
 		}
 		m.applySnapshot(snapshot)
-		if !m.gather(ctx) {
+		if !m.waitForBatch(ctx) {
 			return false
 		}
 		if m.shouldPause() {
 			return true
 		}
 	}
-	// Other boxes may have brought what changed meanwhile, or named records that the watch does not bring from here on.
+	// Deltas of other boxes may have changed the state meanwhile, or named large records that were changed before the
+	// watch starts, and that it does not bring.
 	from := m.State().Revision
 	if !m.readMissing(ctx) {
 		return false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	taken := make(chan struct{}, 1)
-	batches, err := m.Store.Watch(ctx, kv.Watching{From: from + 1, Next: m.pollAfter(taken)})
+	nextPoll := make(chan struct{}, 1)
+	batches, err := m.Store.Watch(ctx, kv.Watching{From: from + 1, Next: m.pollAfter(nextPoll)})
 	if err != nil {
 		m.noteConnectivity(err)
 		return false
 	}
-	return m.applyBatches(ctx, batches, taken)
+	return m.applyBatches(ctx, batches, nextPoll)
 }
 
-// readMissing reads the records that this copy lacks, each by its key, and reports whether the service answered. One that was
-// changed or removed meanwhile is left to the watch.
+// readMissing reads each record that this copy lacks by its key, and reports whether the store answered. A record
+// that was changed or removed meanwhile is left to the watch.
 func (m *Mirror) readMissing(ctx context.Context) bool {
 	for _, large := range m.Missing() {
 		record, err := m.Store.Get(ctx, large.Key)
@@ -118,47 +119,50 @@
 	return true
 }
 
-// firstRecords is how many records a box reads of the service before it waits for the copy of another box: two pages. The service's
-// one link would carry a whole snapshot for each box of a fleet that starts.
-const firstRecords = 900
+// partialSnapshotLimit is how many records a box reads from the store before it waits for another box's copy: two
+// pages. Without it, the store's single link would carry a whole snapshot for each box of a fleet that starts.
+const partialSnapshotLimit = 900
 
-// readFirst reads a snapshot, or no more than its first records where a copy of all is awaited from other boxes.
-func (m *Mirror) readFirst(ctx context.Context) (snapshot kv.Snapshot, whole bool, err error) {
+// readSnapshot reads a snapshot. If this mirror has no copy and may wait for one from other boxes, it stops after
+// partialSnapshotLimit records, and whole is false if there are more.
+func (m *Mirror) readSnapshot(ctx context.Context) (snapshot kv.Snapshot, whole bool, err error) {
 	m.mu.Lock()
 	first := m.state.Revision == 0
 	m.mu.Unlock()
-	if !first || m.Store.SnapshotWithin == nil || m.AwaitsCopy == nil || !m.AwaitsCopy() {
+	if !first || m.Store.SnapshotWithin == nil || m.MayAwaitCopy == nil || !m.MayAwaitCopy() {
 		snapshot, err = m.Store.Snapshot(ctx, "")
 		return snapshot, true, err
 	}
-	snapshot, whole, err = m.Store.SnapshotWithin(ctx, "", firstRecords)
+	snapshot, whole, err = m.Store.SnapshotWithin(ctx, "", partialSnapshotLimit)
 	if err == nil && !whole {
 		m.mu.Lock()
-		m.partRead = true
+		m.partialRead = true
 		m.mu.Unlock()
-		if m.OnPart != nil {
-			m.OnPart(snapshot.Records)
+		if m.OnPartialSnapshot != nil {
+			m.OnPartialSnapshot(snapshot.Records)
 		}
 	}
 	return snapshot, whole, err
 }
 
-// awaitsCopy reports whether this mirror has read the first records of a large service and awaits a copy of all.
-func (m *Mirror) awaitsCopy() bool {
+// awaitingCopy reports whether this mirror has read only the first records of a large store and still waits for a
+// copy from other boxes.
+func (m *Mirror) awaitingCopy() bool {
 	m.mu.Lock()
-	awaiting := m.partRead && m.state.Revision == 0
+	awaiting := m.partialRead && m.state.Revision == 0
 	m.mu.Unlock()
-	return awaiting && m.AwaitsCopy != nil && m.AwaitsCopy()
+	return awaiting && m.MayAwaitCopy != nil && m.MayAwaitCopy()
 }
 
-// pollAfter has a watch poll again only once that is wanted. A poll that is under way while changes gather is answered
-// by the first change alone, and is wasted where the mirror pauses.
-func (m *Mirror) pollAfter(taken <-chan struct{}) func(context.Context) (time.Duration, bool) {
+// pollAfter returns a kv.Watching.Next that lets the watch poll again only after a value arrives on nextPoll. A poll
+// that is under way while changes are gathered is answered with the first change alone, and is wasted if the mirror
+// pauses.
+func (m *Mirror) pollAfter(nextPoll <-chan struct{}) func(context.Context) (time.Duration, bool) {
 	first := true
 	return func(ctx context.Context) (time.Duration, bool) {
 		if !first {
 			select {
-			case <-taken:
+			case <-nextPoll:
 			case <-ctx.Done():
 				return 0, false
 			}
@@ -171,44 +175,47 @@
 	}
 }
 
-// applyBatches takes in a watch's batches until it ends, or until the mirror should pause; it
-// reports whether it is the latter. A watch that ends has no error: the next snapshot shows whether
-// the service is lost. taken gets a value once the next batch is wanted.
-func (m *Mirror) applyBatches(ctx context.Context, batches <-chan []kv.Event, taken chan<- struct{}) bool {
+// applyBatches applies the batches of a watch until the watch ends (false) or the mirror should pause (true). A watch
+// that ends returns no error: the next snapshot shows whether the store is lost. applyBatches sends a value on
+// nextPoll when the next batch is wanted.
+func (m *Mirror) applyBatches(ctx context.Context, batches <-chan []kv.Event, nextPoll chan<- struct{}) bool {
 	for batch := range batches {
 		m.noteConnectivity(nil)
 		m.applyEvents(batch)
 		ahead := m.PollAhead != nil && m.PollAhead()
 		if ahead {
-			want(taken)
+			requestNextPoll(nextPoll)
 		}
-		if len(batch) > 0 && !m.gather(ctx) {
+		if len(batch) > 0 && !m.waitForBatch(ctx) {
 			return false
 		}
 		if m.shouldPause() {
 			return true
 		}
 		if !ahead {
-			want(taken)
+			requestNextPoll(nextPoll)
 		}
 	}
 	return false
 }
 
-// want has a watch poll again. One that is a stream does not wait for it.
-func want(taken chan<- struct{}) {
+// requestNextPoll lets the watch poll again. It does not block, because a watch that is a stream never receives the
+// value.
+func requestNextPoll(nextPoll chan<- struct{}) {
 	select {
-	case taken <- struct{}{}:
+	case nextPoll <- struct{}{}:
 	default:
 	}
 }
 
-// gather lets changes gather before the service is asked for more; false if ctx ended meanwhile.
-func (m *Mirror) gather(ctx context.Context) bool {
+// waitForBatch waits for BatchDelay, so that changes are gathered before the store is polled for more. It returns
+// false if ctx ended meanwhile.
+func (m *Mirror) waitForBatch(ctx context.Context) bool {
 	return m.BatchDelay == nil || pause.For(ctx, m.BatchDelay()) == nil
 }
 
-// applySnapshot replaces the state by a snapshot, unless a newer delta was applied meanwhile.
+// applySnapshot replaces the state by a snapshot. If a newer delta was applied meanwhile, it only takes the records
+// that the copy lacks.
 func (m *Mirror) applySnapshot(snapshot kv.Snapshot) {
 	records := make(map[string]kv.Record, len(snapshot.Records))
 	for _, record := range snapshot.Records {
@@ -216,54 +223,53 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	previousCurrentAt := m.freshness.byAny
+	previousCurrentAt := m.freshness.confirmed
 	m.confirmByStore()
 	if snapshot.Revision < m.state.Revision {
-		m.completeFrom(records)
+		m.fillMissing(records)
 		return
 	}
-	m.missing = missing{}
+	m.missing = missingRecords{}
 	if snapshot.Revision > m.state.Revision {
-		m.removals.restart(snapshot.Revision)
+		m.removals.reset(snapshot.Revision)
 	}
-	m.replace(snapshot.Revision, FromSnapshot, records, previousCurrentAt)
+	m.replaceAll(snapshot.Revision, FromSnapshot, records, previousCurrentAt)
 }
 
-// completeFrom takes the records that this copy lacks from an older snapshot, as far as it has them. The
+// fillMissing takes the records that this copy lacks from an older snapshot, as far as the snapshot has them. The
 // caller holds the lock.
-func (m *Mirror) completeFrom(records map[string]kv.Record) {
+func (m *Mirror) fillMissing(records map[string]kv.Record) {
 	if len(m.missing.revisions) == 0 {
 		return
 	}
 	var put []kv.Record
 	for key, revision := range m.missing.revisions {
-		if record, held := records[key]; held && record.Revision >= revision {
+		if record, found := records[key]; found && record.Revision >= revision {
 			put = append(put, record)
 			delete(m.missing.revisions, key)
 		}
 	}
-	m.change(m.state.Revision, FromSnapshot, put, nil, m.freshness.byAny)
+	m.applyChange(m.state.Revision, FromSnapshot, put, nil, m.freshness.confirmed)
 }
 
-// applyEvents takes in a batch of a watch, which may be empty. Events that the state has already are
-// left out.
+// applyEvents applies a batch of a watch, which may be empty. It skips events that the state already reflects.
 func (m *Mirror) applyEvents(events []kv.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !slices.ContainsFunc(events, func(event kv.Event) bool { return m.wants(event.Record) }) {
+	if !slices.ContainsFunc(events, func(event kv.Event) bool { return m.needs(event.Record) }) {
 		m.confirmByStore()
 		return
 	}
-	previousCurrentAt := m.freshness.byAny
+	previousCurrentAt := m.freshness.confirmed
 	m.confirmByStore()
 	revision := m.state.Revision
 	latest := map[string]kv.Event{}
 	for _, event := range events {
 		record := event.Record
-		if !m.wants(record) {
+		if !m.needs(record) {
 			continue
 		}
-		m.missing.brought(record)
+		m.missing.removeIfReached(record)
 		if event.Deleted {
 			m.removals.add(record.Key, record.Revision, m.state.Records.Len())
 		}
@@ -279,12 +285,11 @@
 			put = append(put, event.Record)
 		}
 	}
-	m.change(revision, FromWatch, put, drop, previousCurrentAt)
+	m.applyChange(revision, FromWatch, put, drop, previousCurrentAt)
 }
 
-// wants reports whether a record is newer than this copy, or one that it lacks. The caller holds the
-// lock.
-func (m *Mirror) wants(record kv.Record) bool {
-	lacking, lacks := m.missing.revisions[record.Key]
-	return record.Revision > m.state.Revision || (lacks && record.Revision >= lacking)
+// needs reports whether a record is newer than this copy, or is one that the copy lacks. The caller holds the lock.
+func (m *Mirror) needs(record kv.Record) bool {
+	missingRevision, missing := m.missing.revisions[record.Key]
+	return record.Revision > m.state.Revision || (missing && record.Revision >= missingRevision)
 }
--- a/pkg/mirror/large.go
+++ b/pkg/mirror/large.go
@@ -7,29 +7,29 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// LargeRecord names a record that a delta does not carry, because its value would hold up all other
-// changes in the delta. It is brought by a transfer of its own.
+// LargeRecord names a record that a delta does not carry, because its value would delay all other changes in the
+// delta. The record is sent in a transfer of its own.
 type LargeRecord struct {
 	Key      string `json:"key"`
 	Revision int64  `json:"revision"`
 }
 
-// missing are the records that this copy lacks although it reflects their revisions. Until they come,
-// the copy has their values of before, if there were any.
-type missing struct {
-	// revisions by key; the latest that was named.
+// missingRecords are the large records that this copy lacks although it has reached their revisions. Until they
+// arrive, the copy has their previous values, if there were any.
+type missingRecords struct {
+	// revisions has the latest revision that a delta named for each missing key.
 	revisions map[string]int64
-	// since is when the copy began to lack one of them, or when a part of one last arrived.
-	since time.Time
+	// noProgressSince is when the copy began to lack records, or when a part of one last arrived.
+	noProgressSince time.Time
 }
 
-func (m *missing) has(key string) bool {
+func (m *missingRecords) has(key string) bool {
 	_, ok := m.revisions[key]
 	return ok
 }
 
-// with returns the keys that are missing or named.
-func (m *missing) with(named []LargeRecord) map[string]bool {
+// keysWith returns the keys of the missing records and of the named ones.
+func (m *missingRecords) keysWith(named []LargeRecord) map[string]bool {
 	keys := map[string]bool{}
 	for key := range m.revisions {
 		keys[key] = true
@@ -40,11 +40,11 @@
 	return keys
 }
 
-// apply takes in the records that a delta names, and forgets those that it brings or removes. held are
-// the records of before.
-func (m *missing) apply(delta Delta, held Records) {
+// applyDelta adds the large records that a delta names, and drops those that it carries or removes. previous are the
+// records before the delta.
+func (m *missingRecords) applyDelta(delta Delta, previous Records) {
 	for _, large := range delta.Large {
-		if old, _ := held.Get(large.Key); old.Revision < large.Revision {
+		if old, _ := previous.Get(large.Key); old.Revision < large.Revision {
 			m.add(large)
 		}
 	}
@@ -63,29 +63,29 @@
 	}
 }
 
-func (m *missing) add(large LargeRecord) {
+func (m *missingRecords) add(large LargeRecord) {
 	if len(m.revisions) == 0 {
-		m.revisions, m.since = map[string]int64{}, time.Now()
+		m.revisions, m.noProgressSince = map[string]int64{}, time.Now()
 	}
 	m.revisions[large.Key] = max(m.revisions[large.Key], large.Revision)
 }
 
-// brought forgets a record if it is as new as the one that is missing.
-func (m *missing) brought(record kv.Record) {
+// removeIfReached drops a missing record once a record of its key arrives that is at least as new.
+func (m *missingRecords) removeIfReached(record kv.Record) {
 	if record.Revision >= m.revisions[record.Key] {
 		delete(m.revisions, record.Key)
 	}
 }
 
-// age is how long the copy has lacked something without progress; 0 if it lacks nothing.
-func (m *missing) age() time.Duration {
+// age returns how long the copy has lacked records without progress; 0 if it lacks none.
+func (m *missingRecords) age() time.Duration {
 	if len(m.revisions) == 0 {
 		return 0
 	}
-	return time.Since(m.since)
+	return time.Since(m.noProgressSince)
 }
 
-// Missing returns the records that deltas named and that this copy lacks.
+// Missing returns the large records that deltas named and that this copy lacks.
 func (m *Mirror) Missing() []LargeRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,33 +96,33 @@
 	return list
 }
 
-// NoteProgress notes that a part of a missing record arrived: the service need not be asked for it while it keeps
-// coming.
+// NoteProgress notes that a part of a missing record arrived. While parts keep arriving, the copy does not become
+// stale, and the store need not be polled for the record.
 func (m *Mirror) NoteProgress() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.missing.since = time.Now()
+	m.missing.noProgressSince = time.Now()
 }
 
-// NoteArrival notes that a part of what this copy lacks arrived.
+// NoteArrival notes that a part of what this copy lacks arrived from another box; see ArrivalAge.
 func (m *Mirror) NoteArrival() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.freshness.brought = time.Now()
+	m.freshness.received = time.Now()
 }
 
-// ApplyLarge takes in a record that a delta named, and reports whether it did. It refuses one whose key
-// is not missing, or that is not newer than what this copy has of it. An older record than the one that
-// is missing is taken in too: it is newer than nothing, and the later one may change again meanwhile.
+// ApplyLarge applies a record that a delta named, and reports whether it did. It rejects a record whose key is not
+// missing, or that is not newer than this copy's record of the key. It accepts an older revision than the missing
+// one: that is better than the present record, and the later revision may change again before it arrives.
 func (m *Mirror) ApplyLarge(record kv.Record) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held, _ := m.state.Records.Get(record.Key)
-	if !m.missing.has(record.Key) || record.Revision <= held.Revision {
+	current, _ := m.state.Records.Get(record.Key)
+	if !m.missing.has(record.Key) || record.Revision <= current.Revision {
 		return false
 	}
-	m.missing.brought(record)
-	m.missing.since = time.Now() // What is missing still was written while this one was on its way.
-	m.change(m.state.Revision, FromPeer, []kv.Record{record}, nil, m.freshness.byAny)
+	m.missing.removeIfReached(record)
+	m.missing.noProgressSince = time.Now() // Records that are still missing were written while this one was on its way.
+	m.applyChange(m.state.Revision, FromPeer, []kv.Record{record}, nil, m.freshness.confirmed)
 	return true
 }
--- a/pkg/mirror/large_test.go
+++ b/pkg/mirror/large_test.go
@@ -16,13 +16,13 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// longest is the longest value that the deltas of these specs carry.
-const longest = 8
+// maxDeltaValue is the length of the longest value, in bytes, that the deltas of these specs carry.
+const maxDeltaValue = 8
 
-var longValue = strings.Repeat("x", longest+1)
+var longValue = strings.Repeat("x", maxDeltaValue+1)
 
-// bring brings a mirror those of its missing records that another one has.
-func bring(to, from *mirror.Mirror) {
+// sendMissing applies to a mirror those of its missing records that another one has.
+func sendMissing(to, from *mirror.Mirror) {
 	for _, large := range to.Missing() {
 		if record, _ := from.State().Records.Get(large.Key); record.Revision >= large.Revision {
 			to.ApplyLarge(record)
@@ -30,15 +30,15 @@
 	}
 }
 
-// exchange brings a mirror what another one has newer, but for large records.
-func exchange(to, from *mirror.Mirror) {
-	if delta := from.DeltaSince(to.State().Revision, longest); delta != nil {
+// sendDelta applies to a mirror what another one has newer, except for large records.
+func sendDelta(to, from *mirror.Mirror) {
+	if delta := from.DeltaSince(to.State().Revision, maxDeltaValue); delta != nil {
 		to.ApplyDelta(*delta)
 	}
 }
 
 var _ = Describe("a large record", func() {
-	It("is named in a delta, does not hold up the others, and keeps its former value until it comes", func() {
+	It("is named in a delta, does not delay other records, and keeps its previous value until it arrives", func() {
 		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "config", "old")
@@ -46,11 +46,11 @@
 			follower, peer := &mirror.Mirror{Store: store}, &mirror.Mirror{}
 			defer start(follower)()
 			synctest.Wait()
-			exchange(peer, follower)
+			sendDelta(peer, follower)
 			put(store, "config", longValue)
 			put(store, "e1", "leaves")
 			synctest.Wait()
-			exchange(peer, follower)
+			sendDelta(peer, follower)
 			Expect(values(peer.State())).To(Equal(map[string]string{"config": "old", "e1": "leaves"}))
 			Expect(peer.Missing()).To(HaveLen(1))
 			peer.ConfirmCurrent(follower.State().Revision, time.Now())
@@ -58,13 +58,13 @@
 			peer.ConfirmCurrent(follower.State().Revision, time.Now())
 			Expect(peer.Staleness()).To(Equal(time.Second), "a copy that lacks a record is not current")
 			peer.NoteProgress()
-			Expect(peer.Staleness()).To(BeZero(), "unless it is coming")
-			By("being passed on by a box that lacks it too")
+			Expect(peer.Staleness()).To(BeZero(), "unless the record is arriving")
+			By("being named by a box that lacks it too")
 			third := &mirror.Mirror{}
-			exchange(third, peer)
+			sendDelta(third, peer)
 			Expect(third.Missing()).To(Equal(peer.Missing()))
-			By("coming on its own")
-			bring(peer, follower)
+			By("arriving in a transfer of its own")
+			sendMissing(peer, follower)
 			Expect(values(peer.State())).To(Equal(map[string]string{"config": longValue, "e1": "leaves"}))
 			Expect(peer.Missing()).To(BeEmpty())
 			Expect(peer.Staleness()).To(BeZero())
@@ -72,7 +72,7 @@
 		})
 	})
 
-	It("is taken in although a later one is missing already, and never after it", func() {
+	It("is applied although a later revision is already missing, and never after that revision", func() {
 		m := &mirror.Mirror{}
 		Expect(m.ApplyDelta(mirror.Delta{Revision: 5, Large: []mirror.LargeRecord{{Key: "config", Revision: 5}}})).To(BeTrue())
 		Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 7, Large: []mirror.LargeRecord{{Key: "config", Revision: 7}}})).To(BeTrue())
@@ -83,19 +83,19 @@
 		Expect(values(m.State())).To(Equal(map[string]string{"config": "seven"}))
 	})
 
-	It("is forgotten when it is removed, also by boxes that never had it", func() {
+	It("is no longer missing once it is removed, also on boxes that never had it", func() {
 		m, peer := &mirror.Mirror{}, &mirror.Mirror{}
 		Expect(m.ApplyDelta(mirror.Delta{Revision: 5, Large: []mirror.LargeRecord{{Key: "config", Revision: 5}}})).To(BeTrue())
-		exchange(peer, m)
+		sendDelta(peer, m)
 		Expect(peer.Missing()).To(HaveLen(1))
 		Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 6, Removed: []string{"config"}})).To(BeTrue())
 		Expect(m.Missing()).To(BeEmpty())
-		exchange(peer, m)
+		sendDelta(peer, m)
 		Expect(peer.Missing()).To(BeEmpty())
 		Expect(peer.State().Records.Len()).To(BeZero())
 	})
 
-	It("is read from the store by a box that asks it", func() {
+	It("is read from the store by a box that polls it", func() {
 		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "config", longValue)
@@ -103,7 +103,7 @@
 			stop := start(follower)
 			synctest.Wait()
 			stop()
-			exchange(m, follower)
+			sendDelta(m, follower)
 			Expect(m.Missing()).To(HaveLen(1))
 			defer start(m)()
 			synctest.Wait()
@@ -134,7 +134,7 @@
 			stop := start(follower)
 			synctest.Wait()
 			stop()
-			exchange(m, follower)
+			sendDelta(m, follower)
 			By("changes of what it lacks and of what it has, before it follows the store")
 			put(memory, "later", "short")
 			put(memory, "e7", "leaves")
@@ -151,7 +151,7 @@
 		})
 	})
 
-	It("is read of the store where another box named it before the store was followed, and does not bring it", func() {
+	It("is read from the store if another box named it before the watch began and does not send it", func() {
 		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "e1", "serves")
@@ -163,7 +163,7 @@
 			stop := start(peer)
 			synctest.Wait()
 			stop()
-			exchange(m, peer)
+			sendDelta(m, peer)
 			Expect(m.Missing()).To(HaveLen(1))
 			time.Sleep(2 * time.Second)
 			Expect(m.Missing()).To(BeEmpty())
@@ -184,14 +184,14 @@
 				for n := range 200 {
 					changeAtRandom(random, store, n)
 					to, from := boxes[random.IntN(len(boxes))], boxes[random.IntN(len(boxes))]
-					exchange(to, from)
-					bring(boxes[random.IntN(len(boxes))], boxes[random.IntN(len(boxes))])
+					sendDelta(to, from)
+					sendMissing(boxes[random.IntN(len(boxes))], boxes[random.IntN(len(boxes))])
 					time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 				}
 				time.Sleep(time.Second)
 				for _, box := range boxes {
-					exchange(box, boxes[0])
-					bring(box, boxes[0])
+					sendDelta(box, boxes[0])
+					sendMissing(box, boxes[0])
 				}
 				snapshot, err := store.Snapshot(context.Background(), "")
 				Expect(err).NotTo(HaveOccurred())
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -1,12 +1,11 @@
-// Package mirror keeps a copy of all that the key-value service holds.
+// Package mirror keeps a copy of all records of the key-value store.
 //
-// The copy follows the service's watch. Where the service can't be reached, or need not be asked, a
-// newer copy of another box brings it up to date, as a delta. So a few boxes that watch the service
-// are enough for all. The package owns the copy and its age; it relies on pkg/kv for the service and
-// on its callers to carry deltas between boxes.
+// The copy is updated by a watch of the store. When the store is unreachable or need not be polled, deltas from boxes
+// with a newer copy bring it up to date, so that it is enough if a few boxes watch the store. The package owns the
+// copy and its age. It relies on pkg/kv for the store, and on its callers to carry deltas between boxes.
 //
 // `ospreymoor node` uses it (internal/storeview, internal/cluster). `ospreymoor serve` has
-// pkg/records instead: named records with generations of their own, not one copy at a revision.
+// pkg/records instead, which has named records with a generation each, not one copy at a revision.
 package mirror
 
 import (
@@ -17,15 +16,16 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// State is what the service holds at one revision.
+// State is a copy of the store's records at one revision.
 type State struct {
-	// Revision of the service that the records reflect; 0 before anything was read.
+	// Revision is the store's revision that the records reflect; 0 before anything was read.
 	Revision int64
 	Records  Records
-	// Changed are the keys whose records are new, other or gone since the state before; nil if that is not known.
+	// Changed are the keys whose records were added, changed or removed since the previous state; nil if that is not
+	// known.
 	Changed []string
-	// PreviousCurrentAt is when the state before this one was last known to be current: what changed
-	// did so later. It is zero for the first state.
+	// PreviousCurrentAt is when the previous state was last known to be current. The changes since then are later than
+	// that. It is zero for the first state.
 	PreviousCurrentAt time.Time
 	// Origin is where the latest change came from.
 	Origin Origin
@@ -36,81 +36,82 @@
 
 // The origins of a change.
 const (
-	// FromSnapshot is a snapshot of the service, FromWatch a batch of its watch, and FromPeer a
-	// delta of another box.
+	// FromSnapshot is a snapshot of the store, FromWatch a batch of its watch, and FromPeer a delta or a large record
+	// from another box.
 	FromSnapshot Origin = "snapshot"
 	FromWatch    Origin = "watch"
 	FromPeer     Origin = "peer"
 )
 
-// Mirror follows the service. It is safe for concurrent use; its exported fields are set before Run.
+// Mirror keeps a copy of the store up to date. It is safe for concurrent use; its exported fields are set before Run.
 type Mirror struct {
 	Store kv.Store
 	// OnChange is called with each new state, one call at a time and with the mirror locked: it must
 	// neither block nor call the mirror.
 	OnChange func(State)
-	// BatchDelay returns how long changes are gathered before the service is asked for more, since
-	// each answer of a watch is a call that costs; nil is no time.
+	// BatchDelay returns how long changes are gathered before the store is polled for more, because each answer of a
+	// watch is a call that costs; nil means no delay.
 	BatchDelay func() time.Duration
-	// PollTimeout returns how long the service may hold back the answer to one poll of the watch
-	// while nothing changes; nil or 0 leaves it to pkg/kv.
+	// PollTimeout returns how long the store may delay the answer to one poll of the watch while nothing changes; nil or
+	// 0 leaves it to pkg/kv.
 	PollTimeout func() time.Duration
-	// PollAhead reports whether the service is asked for the next changes already while those before gather, so that a
-	// large one is on its way meanwhile; nil is never. It costs a call where the mirror then pauses.
+	// PollAhead reports whether the store is polled for the next changes while the previous ones are still gathered, so
+	// that a large one is already on its way; nil means never. If the mirror then pauses, the call was wasted.
 	PollAhead func() bool
-	// Paused reports whether the service need not be asked now, because other boxes bring the copy
-	// up to date; nil asks it always.
+	// Paused reports whether the store need not be polled now, because other boxes bring the copy up to date; nil means
+	// that it is always polled.
 	Paused func() bool
-	// AwaitsCopy reports whether a first copy may be awaited from other boxes, so that this one does not read a large service whole; nil
-	// is never.
-	AwaitsCopy func() bool
-	// OnPart is called with the first records of a service that is too large to be read whole while a copy is awaited; nil is not.
-	OnPart func([]kv.Record)
-	// OnConnectivity is called when the service is lost (with the error) and regained (with nil).
+	// MayAwaitCopy reports whether this box may wait for a first copy from other boxes instead of reading a large store
+	// whole; nil means never.
+	MayAwaitCopy func() bool
+	// OnPartialSnapshot is called with the first records of a store that is too large to be read whole while a copy may
+	// be awaited; nil is not called.
+	OnPartialSnapshot func([]kv.Record)
+	// OnConnectivity is called with an error when the store becomes unreachable, and with nil when it is reachable
+	// again. nil is not called.
 	OnConnectivity func(error)
 
 	mu        sync.Mutex
 	state     State
 	changelog changelog
 	removals  removals
-	missing   missing
+	missing   missingRecords
 	freshness freshness
-	// awaited are confirmations of revisions that this copy has yet to reach, in the order in which they came.
-	awaited []confirmation
-	// partRead means that the first records of a large service were read, and a copy is awaited.
-	partRead bool
-	// copied means that the state came from other boxes alone, from its first copy on.
-	copied bool
-	// connection is that to the service.
-	connection connection
+	// pendingConfirmations are confirmations of revisions that this copy has not reached yet, in the order of arrival.
+	pendingConfirmations []confirmation
+	// partialRead means that only the first records of a large store were read, because a copy may be awaited.
+	partialRead bool
+	// copiedFromPeers means that the whole state so far came from other boxes. The next call of follow clears it.
+	copiedFromPeers bool
+	connection      connection
 }
 
-// freshness is when the copy was last known to be current; zero times are never.
+// freshness is when the copy was last known to be current. A zero time means never.
 type freshness struct {
-	// byStore is when the service itself last confirmed it.
-	byStore time.Time
-	// byAny is when the service or another box last confirmed it.
-	byAny time.Time
-	// brought is when other boxes last brought a part of what it lacks.
-	brought time.Time
+	// storeConfirmed is when the store itself last confirmed that the copy is current.
+	storeConfirmed time.Time
+	// confirmed is the latest time at which the copy is known to have been current, from the store or another box.
+	confirmed time.Time
+	// received is when a part of what the copy lacks last arrived from other boxes.
+	received time.Time
 }
 
-// confirmation is that another box's copy of a revision was current at some time.
+// confirmation states that another box's copy of a revision was current at some time.
 type confirmation struct {
 	revision int64
 	at       time.Time
 }
 
-// maxAwaited bounds the confirmations that are kept. The exchanges of two seconds, longer than a copy takes
-// from another box.
-const maxAwaited = 8
+// maxPendingConfirmations bounds the confirmations that are kept. They cover the exchanges of two seconds, which is
+// longer than a copy from another box takes to arrive.
+const maxPendingConfirmations = 8
 
-// connection is how the calls to the service went.
+// connection is the state of the calls to the store.
 type connection struct {
-	// lost is true while the latest call failed.
+	// lost means that the latest call failed.
 	lost bool
-	// triedAt is when the service was last asked.
-	triedAt time.Time
+	// lastAttempt is when this box last began to follow the store.
+	lastAttempt time.Time
 }
 
 // State returns the latest state.
@@ -120,101 +121,103 @@
 	return m.state
 }
 
-// StoreAge returns how long ago the service itself confirmed that the copy is current; negative if it
-// never did.
+// StoreAge returns how long ago the store itself last confirmed that the copy is current; negative if it never did.
 func (m *Mirror) StoreAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return since(m.freshness.byStore)
+	return ageOf(m.freshness.storeConfirmed)
 }
 
-// Staleness returns how long ago the copy was last known to be current, by the service or by another
-// box; negative if it never was. A copy that lacks records is not current, unless they are coming.
+// Staleness returns how long ago the copy was last known to be current, from the store or from another box; negative
+// if it never was. A copy that lacks large records is at least as stale as the time without progress on them.
 func (m *Mirror) Staleness() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	age := since(m.freshness.byAny)
-	if age == never {
-		return never
+	age := ageOf(m.freshness.confirmed)
+	if age == neverConfirmed {
+		return neverConfirmed
 	}
 	return max(age, m.missing.age())
 }
 
-// never is the age of what was never confirmed.
-const never = -1
+// neverConfirmed is the age of what was never confirmed.
+const neverConfirmed = -1
 
-func since(confirmed time.Time) time.Duration {
+// ageOf returns the time since a confirmation, or neverConfirmed for a zero time.
+func ageOf(confirmed time.Time) time.Duration {
 	if confirmed.IsZero() {
-		return never
+		return neverConfirmed
 	}
 	return time.Since(confirmed)
 }
 
-// ConfirmCurrent notes that another box's copy of a revision was current at some time. It counts once this
-// copy is as new: while records change faster than an exchange carries them, what the exchange confirms arrives
-// a moment after it, and boxes that did not wait for it would poll the service.
+// ConfirmCurrent notes that another box's copy of a revision was current at some time. The confirmation counts once
+// this copy has reached the revision. While records change faster than an exchange between boxes carries them, the
+// confirmed records arrive a moment after the exchange; boxes that dropped the confirmation would poll the store.
 func (m *Mirror) ConfirmCurrent(revision int64, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.awaited) == maxAwaited {
-		// The earlier ones are of revisions that are reached sooner.
-		m.awaited = m.awaited[:maxAwaited-1]
+	if len(m.pendingConfirmations) == maxPendingConfirmations {
+		// Drop the latest one: the earlier ones are of revisions that are reached sooner.
+		m.pendingConfirmations = m.pendingConfirmations[:maxPendingConfirmations-1]
 	}
-	m.awaited = append(m.awaited, confirmation{revision: revision, at: at})
-	m.confirmReached()
+	m.pendingConfirmations = append(m.pendingConfirmations, confirmation{revision: revision, at: at})
+	m.applyPendingConfirmations()
 }
 
-// Arriving returns how long ago other boxes last brought a part of what this copy lacks, or confirmed a copy that is newer than this one,
-// whichever is longer ago; negative if no newer copy is known.
-func (m *Mirror) Arriving() time.Duration {
+// ArrivalAge returns how long ago a part of what this copy lacks last arrived from other boxes, or how long ago a
+// newer copy than this one was last confirmed, whichever is longer. It is negative if no newer copy is known or
+// nothing ever arrived.
+func (m *Mirror) ArrivalAge() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.awaited) == 0 || m.freshness.brought.IsZero() {
-		return never
+	if len(m.pendingConfirmations) == 0 || m.freshness.received.IsZero() {
+		return neverConfirmed
 	}
-	confirmed := m.awaited[len(m.awaited)-1].at
-	return max(time.Since(m.freshness.brought), time.Since(confirmed))
+	confirmed := m.pendingConfirmations[len(m.pendingConfirmations)-1].at
+	return max(time.Since(m.freshness.received), time.Since(confirmed))
 }
 
-// confirmReached takes in the confirmations of revisions that this copy has reached. The caller holds the lock.
-func (m *Mirror) confirmReached() {
-	m.awaited = slices.DeleteFunc(m.awaited, func(c confirmation) bool {
+// applyPendingConfirmations applies and drops the confirmations of revisions that this copy has reached. The caller
+// holds the lock.
+func (m *Mirror) applyPendingConfirmations() {
+	m.pendingConfirmations = slices.DeleteFunc(m.pendingConfirmations, func(c confirmation) bool {
 		reached := c.revision <= m.state.Revision
-		if reached && c.at.After(m.freshness.byAny) {
-			m.freshness.byAny = c.at
+		if reached && c.at.After(m.freshness.confirmed) {
+			m.freshness.confirmed = c.at
 		}
 		return reached
 	})
 }
 
-// confirmByStore notes that the service itself answered with its current state. The caller holds
-// the lock.
+// confirmByStore notes that the store itself answered with its current state. The caller holds the lock.
 func (m *Mirror) confirmByStore() {
 	now := time.Now()
-	m.freshness.byStore, m.freshness.byAny = now, now
+	m.freshness.storeConfirmed, m.freshness.confirmed = now, now
 }
 
-// Lost reports whether the service could not be reached at the latest call.
+// Lost reports whether the latest call to the store failed.
 func (m *Mirror) Lost() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.connection.lost
 }
 
-// noteConnectivity notes how a call went. Only losing and regaining the service are passed on, not the
-// errors of further calls while it is lost.
+// noteConnectivity notes whether a call to the store failed. It calls OnConnectivity when that changes, not for
+// further errors while the store is lost.
 func (m *Mirror) noteConnectivity(err error) {
 	m.mu.Lock()
-	was := m.connection.lost
+	wasLost := m.connection.lost
 	m.connection.lost = err != nil
 	m.mu.Unlock()
-	if m.OnConnectivity != nil && was != (err != nil) {
+	if m.OnConnectivity != nil && wasLost != (err != nil) {
 		m.OnConnectivity(err)
 	}
 }
 
-// change makes the next state by records that are put and keys that are dropped, and passes it on. The caller holds the lock.
-func (m *Mirror) change(revision int64, origin Origin, put []kv.Record, drop []string, previousCurrentAt time.Time) {
+// applyChange makes the next state by adding or replacing the records in put and removing the keys in drop, and
+// passes it to OnChange. The caller holds the lock.
+func (m *Mirror) applyChange(revision int64, origin Origin, put []kv.Record, drop []string, previousCurrentAt time.Time) {
 	records := m.state.Records.with(put, drop)
 	m.changelog.add(put, records)
 	changed := make([]string, 0, len(put)+len(drop))
@@ -223,19 +226,19 @@
 	}
 	changed = append(changed, drop...)
 	m.state = State{Revision: revision, Records: records, Changed: changed, PreviousCurrentAt: previousCurrentAt, Origin: origin}
-	m.confirmReached()
+	m.applyPendingConfirmations()
 	if m.OnChange != nil {
 		m.OnChange(m.state)
 	}
 }
 
-// replace makes the next state of all records that there are. Those that are as they were do not count as changed. The caller holds the
-// lock.
-func (m *Mirror) replace(revision int64, origin Origin, all map[string]kv.Record, previousCurrentAt time.Time) {
+// replaceAll makes the next state from all records of the store. Records with the same revision as before do not
+// count as changed. The caller holds the lock.
+func (m *Mirror) replaceAll(revision int64, origin Origin, all map[string]kv.Record, previousCurrentAt time.Time) {
 	var put []kv.Record
 	var drop []string
 	for key, record := range all {
-		if old, held := m.state.Records.Get(key); !held || old.Revision != record.Revision {
+		if old, found := m.state.Records.Get(key); !found || old.Revision != record.Revision {
 			put = append(put, record)
 		}
 	}
@@ -244,5 +247,5 @@
 			drop = append(drop, key)
 		}
 	}
-	m.change(revision, origin, put, drop, previousCurrentAt)
+	m.applyChange(revision, origin, put, drop, previousCurrentAt)
 }
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -20,7 +20,7 @@
 
 func TestMirror(t *testing.T) { spectest.Run(t, "Mirror") }
 
-// start runs a mirror, and returns what stops it and waits for its end.
+// start runs a mirror, and returns a function that stops it and waits for its end.
 func start(m *mirror.Mirror) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -62,7 +62,7 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			remove(store, "k3")
-			// Many changes must not lag behind one another: a pause covers all that came in it.
+			// Changes must not queue up behind one another: one batch has all changes of its delay.
 			time.Sleep(700 * time.Millisecond)
 			Expect(values(m.State())).To(HaveLen(9))
 			Expect(values(m.State())["k9"]).To(Equal("49"))
@@ -177,12 +177,12 @@
 			paused.Store(false)
 			time.Sleep(time.Second)
 			Expect(values(m.State())).To(Equal(map[string]string{"a": "3", "b": "1"}))
-			Expect(calls.Load()).To(Equal(int64(1)), "it watches on from where it was brought")
+			Expect(calls.Load()).To(Equal(int64(1)), "it watches from the revision that the delta brought it to")
 			stop()
 		})
 	})
 
-	It("counts a confirmation of a revision that it has yet to reach once it is there, as of its own time", func() {
+	It("counts a confirmation of a later revision once it has reached it, with the time of the confirmation", func() {
 		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
 			put(store, "a", "1")
@@ -196,7 +196,7 @@
 			synctest.Wait()
 			stopNewer()
 			time.Sleep(time.Second)
-			for later := range 20 { // Confirmations of revisions further on do not displace it.
+			for later := range 20 { // Confirmations of later revisions must not displace it.
 				m.ConfirmCurrent(newer.State().Revision+int64(later), time.Now())
 			}
 			Expect(m.Staleness()).To(Equal(time.Second))
@@ -210,18 +210,18 @@
 		for seed := range uint64(20) {
 			spectest.Bubble(func() {
 				random := rand.New(rand.NewPCG(seed, 1))
-				// The mirror's goroutine draws from a source of its own.
-				fates := rand.New(rand.NewPCG(seed, 2))
+				// The mirror's goroutine has a random source of its own.
+				faults := rand.New(rand.NewPCG(seed, 2))
 				store := kv.NewMemory().Store()
 				unreliable := store
 				unreliable.Snapshot = func(ctx context.Context, prefix string) (kv.Snapshot, error) {
-					if fates.IntN(2) == 0 {
+					if faults.IntN(2) == 0 {
 						return kv.Snapshot{}, kv.ErrUnavailable
 					}
 					return store.Snapshot(ctx, prefix)
 				}
 				unreliable.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
-					span := time.Duration(fates.IntN(300)) * time.Millisecond
+					span := time.Duration(faults.IntN(300)) * time.Millisecond
 					ctx, cancel := context.WithTimeout(ctx, span)
 					time.AfterFunc(span, cancel)
 					return store.Watch(ctx, watching)
@@ -232,7 +232,7 @@
 					put(store, fmt.Sprint("k", random.IntN(8)), fmt.Sprint(n))
 					time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 				}
-				time.Sleep(time.Minute) // A series of refused reads may be long: seed 9 has thirteen.
+				time.Sleep(time.Minute) // A series of failed reads may be long: seed 9 has thirteen.
 				snapshot, _ := store.Snapshot(context.Background(), "")
 				want := map[string]string{}
 				for _, record := range snapshot.Records {
--- a/pkg/mirror/mirrortest/records.go
+++ b/pkg/mirror/mirrortest/records.go
@@ -1,4 +1,4 @@
-// Package mirrortest makes states of a mirror for specs.
+// Package mirrortest makes record sets of a mirror for specs.
 package mirrortest
 
 import (
@@ -6,7 +6,7 @@
 	"ospreymoor.example/ospreymoor/pkg/mirror"
 )
 
-// Records returns records by their keys, as a mirror holds them.
+// Records returns a record set as a mirror holds it.
 func Records(list ...kv.Record) mirror.Records {
 	var m mirror.Mirror
 	m.ApplyDelta(mirror.Delta{Revision: 1, Changed: list})
--- a/pkg/mirror/records.go
+++ b/pkg/mirror/records.go
@@ -9,11 +9,12 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// recordShards is how many parts a set of records is kept in. A change copies the parts that it touches.
+// recordShards is the number of shards of a set of records. A change copies only the shards that it touches.
 const recordShards = 256
 
-// Records are the records of a state by key. They do not change once made: a change makes new ones, which share with the old ones what is
-// the same. Its cost goes with what changed, not with how many records there are.
+// Records is an immutable set of records by key. A change makes a new set that shares the unchanged shards with the
+// old one. The cost of a change grows with the number of changed records, not with the size of the set. The zero
+// value is an empty set.
 type Records struct {
 	shards *[recordShards]map[string]kv.Record
 	count  int
@@ -21,19 +22,19 @@
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % recordShards) }
 
-// Get returns the record of a key.
-func (r Records) Get(key string) (record kv.Record, held bool) {
+// Get returns the record of a key, and reports whether there is one.
+func (r Records) Get(key string) (record kv.Record, found bool) {
 	if r.shards == nil {
 		return kv.Record{}, false
 	}
-	record, held = r.shards[shardOf(key)][key]
-	return record, held
+	record, found = r.shards[shardOf(key)][key]
+	return record, found
 }
 
-// Len is how many records there are.
+// Len returns the number of records.
 func (r Records) Len() int { return r.count }
 
-// All ranges over the records by key, in no order.
+// All returns an iterator over the keys and records, in no particular order.
 func (r Records) All() iter.Seq2[string, kv.Record] {
 	return func(yield func(string, kv.Record) bool) {
 		if r.shards == nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// with returns the records with some put and others dropped.
+// with returns a set in which the records in put are added or replaced, and the keys in drop are removed.
 func (r Records) with(put []kv.Record, drop []string) Records {
 	next := Records{shards: &[recordShards]map[string]kv.Record{}, count: r.count}
 	if r.shards != nil {
@@ -69,13 +70,13 @@
 	}
 	for _, record := range put {
 		records := shard(record.Key)
-		if _, held := records[record.Key]; !held {
+		if _, found := records[record.Key]; !found {
 			next.count++
 		}
 		records[record.Key] = record
 	}
 	for _, key := range drop {
-		if _, held := next.Get(key); held {
+		if _, found := next.Get(key); found {
 			delete(shard(key), key)
 			next.count--
 		}
@@ -83,16 +84,16 @@
 	return next
 }
 
-// Difference lists the keys whose records are new, other or gone in later records.
+// Difference returns the keys whose records were added, changed or removed between r and later.
 func (r Records) Difference(later Records) []string {
 	var keys []string
 	for key, record := range later.All() {
-		if old, held := r.Get(key); !held || old.Revision != record.Revision {
+		if old, found := r.Get(key); !found || old.Revision != record.Revision {
 			keys = append(keys, key)
 		}
 	}
 	for key := range r.All() {
-		if _, held := later.Get(key); !held {
+		if _, found := later.Get(key); !found {
 			keys = append(keys, key)
 		}
 	}
