--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -12,71 +12,74 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// Controller orders the engines of one hall while it holds the hall's lease. Settings and seams
-// are plain fields, all set before Run; the zero value of an optional one takes its default.
+// Controller sends orders to the engines of one hall while this box holds the hall's lease. All
+// exported fields are set before Run; the zero value of an optional one selects its default.
 type Controller struct {
 	Hall string
 	// Address is this box's peer address, published with the holdings.
 	Address string
-	// Term returns the term under which this box may order now, or an error.
+	// Term returns the term under which this box may send orders now, or an error if it may not.
 	Term func() (int64, error)
-	// RepairTerm returns the term under which fenced engines may still be ordered although the
+	// RepairTerm returns the term under which fenced engines may still be sent orders although the
 	// lease can't be renewed, 0 if none. Optional, for embedders: nil means never.
 	RepairTerm func() int64
 	// Engines lists the hall's engines.
 	Engines func() []Engine
-	// TakeOver is called once for each new term before the first order. It must fetch the latest
-	// plan, because what a former holder confirmed under that plan still holds.
+	// TakeOver is called before the first order of each new term, again if it failed. It must fetch
+	// the latest plan, because what a former controller confirmed under that plan still holds.
 	TakeOver func(ctx context.Context) error
 	// Plan returns the latest plan, false if there is none yet.
 	Plan func() (placement.Plan, bool)
-	// MayUnload reports whether an item stays reachable when an engine unloads it.
+	// MayUnload reports whether an engine may unload an item: what the plan needs must stay reachable
+	// at another engine.
 	MayUnload func(plan placement.Plan, engine, item string) bool
-	// Store holds the intents of engines that are not fenced.
+	// Store holds the intents for unfenced engines.
 	Store kv.Store
-	// PublishHoldings and PublishLoads publish the hall's records under a term and a sequence.
+	// PublishHoldings and PublishLoads publish the hall's records under a term and a sequence number.
 	PublishHoldings func(term, sequence int64, holdings Holdings)
 	PublishLoads    func(term, sequence int64, loads Loads)
-	// Interval between two looks at an engine. Optional, for embedders: 0 takes 1 s.
+	// Interval is the pause between two polls of an engine. Optional, for embedders: 0 selects 1 s.
 	Interval time.Duration
-	// OrderLife is the longest time after which an order that was sent can still take effect
-	// at an engine that is not fenced. Optional: 0 takes 30 s.
+	// OrderLife is the longest time after which an order that was sent to an unfenced engine can
+	// still take effect. Optional: 0 selects 30 s.
 	OrderLife time.Duration
-	// Metrics takes the counters. Optional, for embedders: nil takes the default set.
+	// Metrics holds the counters. Optional, for embedders: nil selects the default set.
 	Metrics *metrics.Set
 
 	controllerState
 }
 
-// controllerState is what a running controller keeps.
+// controllerState is the state of a running controller.
 type controllerState struct {
 	// mu guards states and recordSequence.
 	mu     sync.Mutex
 	states map[string]observed
-	// recordSequence is the sequence of the records last published.
+	// recordSequence is the sequence number of the records last published.
 	recordSequence int64
 
 	intents intents
 
-	// takeOverTurn is held during TakeOver: other workers wait for it. It is no mutex, because
-	// TakeOver calls the store.
-	takeOverTurn *semaphore.Weighted
-	// takenOverTerm is the term for which TakeOver was last done. The caller holds takeOverTurn.
+	// takeOverLock is held during TakeOver, and other workers wait for it. It is a semaphore rather
+	// than a mutex, because TakeOver calls the store: a worker's wait ends with its context.
+	takeOverLock *semaphore.Weighted
+	// takenOverTerm is the last term for which TakeOver succeeded. takeOverLock guards it.
 	takenOverTerm int64
 
-	// publishingSince is when this box began to publish, zero while it may not. Only Run uses it.
+	// publishingSince is when this box was first allowed to publish, zero while it may not. Only Run
+	// uses it.
 	publishingSince time.Time
 }
 
-// observed is what an engine last answered.
+// observed is the last state that an engine reported, and when.
 type observed struct {
 	state State
-	// plan is the number of the plan that the controller followed then, 0 if none is confirmed.
+	// plan is the number of the plan that the controller followed then, 0 if none is confirmed
+	// (see Holding.Plan).
 	plan int64
 	at   time.Time
 }
 
-// Run orders engines until ctx ends.
+// Run sends orders to the hall's engines until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	c.init()
 	running := map[string]context.CancelFunc{}
@@ -108,11 +111,12 @@
 		c.Metrics = metrics.GetDefaultSet()
 	}
 	c.states = map[string]observed{}
-	c.takeOverTurn = semaphore.NewWeighted(1)
+	c.takeOverLock = semaphore.NewWeighted(1)
 	c.intents = newIntents(c.Store, c.Hall, c.OrderLife)
 }
 
-// startWorkers keeps one worker running for each engine of the hall.
+// startWorkers starts a worker for each new engine of the hall, and stops those of engines that are no
+// longer listed.
 func (c *Controller) startWorkers(ctx context.Context, running map[string]context.CancelFunc, workers *sync.WaitGroup) {
 	wanted := map[string]bool{}
 	for _, engine := range c.Engines() {
@@ -140,10 +144,10 @@
 
 // ensureTakenOver calls TakeOver before the first order of a term.
 func (c *Controller) ensureTakenOver(ctx context.Context, term int64) error {
-	if err := c.takeOverTurn.Acquire(ctx, 1); err != nil {
+	if err := c.takeOverLock.Acquire(ctx, 1); err != nil {
 		return err
 	}
-	defer c.takeOverTurn.Release(1)
+	defer c.takeOverLock.Release(1)
 	if c.takenOverTerm == term {
 		return nil
 	}
--- a/pkg/orders/publish.go
+++ b/pkg/orders/publish.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// publish publishes the hall's records if this box may; it returns the holdings last published.
-// Loads go out each time, holdings when they change.
+// publish publishes the hall's records if this box may, and returns the holdings last published.
+// Loads are published each time, holdings when they change.
 func (c *Controller) publish(last Holdings) Holdings {
 	term, ok := c.publishTerm()
 	if !ok {
@@ -33,9 +33,9 @@
 	return holdings
 }
 
-// publishTerm is the term that the hall's records are published under, false if this box may not
-// publish. While the lease can't be renewed because the store can't be reached, the last holder
-// goes on: without it the hall would route by stale loads until the store is back.
+// publishTerm returns the term under which the hall's records are published, false if this box may
+// not publish. While the lease can't be renewed because the store is unreachable, the last holder
+// continues: otherwise the hall would route by stale loads until the store is reachable again.
 func (c *Controller) publishTerm() (int64, bool) {
 	if term, err := c.Term(); err == nil {
 		return term, true
@@ -44,10 +44,11 @@
 	return term, term != 0
 }
 
-// observedAll reports whether every engine has answered since this box began to publish, or had
-// the time to. Until then the records of the former holder are more complete.
+// observedAll reports whether every engine has answered since this box was first allowed to publish,
+// or maxAnswerAgeIntervals have passed. Until then the records of the former controller are more
+// complete.
 func (c *Controller) observedAll() bool {
-	if time.Since(c.publishingSince) > reportLapseIntervals*c.Interval {
+	if time.Since(c.publishingSince) > maxAnswerAgeIntervals*c.Interval {
 		return true
 	}
 	c.mu.Lock()
@@ -60,8 +61,8 @@
 	return true
 }
 
-// records describes the engines: what each held at its last answer, and the loads of those that
-// answered lately.
+// records returns what each engine held at its last answer, and the loads of those that answered
+// within maxAnswerAgeIntervals.
 func (c *Controller) records() (Holdings, Loads) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,14 +82,14 @@
 			Loading:     loading,
 			Plan:        seen.plan,
 		}
-		if time.Since(seen.at) < reportLapseIntervals*c.Interval {
+		if time.Since(seen.at) < maxAnswerAgeIntervals*c.Interval {
 			loads.Engines[id] = Load{Running: s.Running, Queued: s.Queued}
 		}
 	}
 	return holdings, loads
 }
 
-// observe records an engine's answer, and the plan that is confirmed with it, 0 if none.
+// observe records an engine's answer and the number of the plan confirmed with it, 0 if none.
 func (c *Controller) observe(id string, state State, plan int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/orders/worker.go
+++ b/pkg/orders/worker.go
@@ -11,33 +11,32 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// worker brings one engine to what the plan wants, one order at a time.
+// worker brings the items of one engine in line with the plan, one order at a time.
 type worker struct {
 	*Controller
 	engine Engine
-	// fencedTerm is the term that the engine has confirmed, 0 if none or if it is in doubt.
+	// fencedTerm is the term that the engine has confirmed, 0 if none or if that is uncertain.
 	fencedTerm int64
-	// sequence of the last order.
+	// sequence is the sequence number of the last order.
 	sequence int64
-	// incarnation of the engine that confirmed fencedTerm.
+	// incarnation is that of the engine when it confirmed fencedTerm.
 	incarnation string
 }
 
-// order is the load of an item, or its unload.
+// order is an order to load an item, or to unload it.
 type order struct {
 	load bool
 	item placement.Item
 }
 
-// run looks at the engine and orders it until ctx ends.
+// run polls the engine and sends it orders until ctx ends.
 //
-// Retry: whatever failed is tried again at the next look, always one Interval later. The pause
-// does not grow, because one worker has at most one call to its engine under way, so that a
-// failing engine gets one call an Interval, and a longer pause would leave its models unloaded
-// for longer after it is back.
+// Retry: whatever failed is retried at the next poll, always one Interval later. The pause does not
+// grow: a worker has at most one call to its engine in flight, so a failing engine gets one call per
+// Interval, and a longer pause would leave its models unloaded for longer after it is back.
 func (w *worker) run(ctx context.Context) {
 	for {
-		for range ordersPerLook {
+		for range maxOrderBurst {
 			if !w.step(ctx) {
 				break
 			}
@@ -50,7 +49,7 @@
 	}
 }
 
-// step looks at the engine and sends at most one order; it reports whether one took effect.
+// step polls the engine and sends at most one order; it reports whether the engine accepted one.
 func (w *worker) step(ctx context.Context) bool {
 	term, ok := w.orderTerm()
 	if !ok {
@@ -58,14 +57,14 @@
 		w.observeOnly(ctx)
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if err := w.ensureTakenOver(ctx, term); err != nil {
 		w.count("take over", err)
 		return false
 	}
 	// The plan is read before the state: only orders under this plan or a newer one can change
-	// what the state shows. Without a plan nothing is wanted, and nothing is unloaded either.
+	// what the state shows. Without a plan nothing is loaded or unloaded.
 	plan, _ := w.Plan()
 	state, err := w.confirmedState(ctx, term)
 	if err != nil {
@@ -79,22 +78,23 @@
 	return w.stepUnfenced(ctx, term, plan, state)
 }
 
-// observeOnly looks at an engine that may not be ordered now, if this box still publishes.
-// A failure needs no count: the engine's load lapses after reportLapseIntervals.
+// observeOnly polls an engine that may not be sent orders now, if this box still publishes.
+// A failure is not counted: the engine's load is no longer published after maxAnswerAgeIntervals.
 func (w *worker) observeOnly(ctx context.Context) {
 	if _, ok := w.publishTerm(); !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if state, err := w.engine.State(ctx); err == nil {
 		w.observe(w.engine.ID, state, 0)
 	}
 }
 
-// orderTerm is the term under which this box may order the engine now. An engine that is not
-// fenced is ordered only under a lease that is valid now. A fenced one is also repaired under
-// the last term while the store can't be reached: a higher term ends that at the engine.
+// orderTerm returns the term under which this box may send orders to the engine now, false if it may
+// not. An unfenced engine gets orders only under a lease that is valid now. A fenced engine also gets
+// them under the last term while the store is unreachable, because it refuses them as soon as it has
+// seen a higher term.
 func (w *worker) orderTerm() (int64, bool) {
 	if term, err := w.Term(); err == nil {
 		return term, true
@@ -105,8 +105,8 @@
 	return 0, false
 }
 
-// confirmedState returns the engine's state. For a fenced engine its fence is raised first, if
-// this term has not done so, so that no order of a former holder can change the state any more.
+// confirmedState returns the engine's state. For a fenced engine, it raises the fence first unless the
+// engine has confirmed this term, so that no order of a former controller can change the state later.
 func (w *worker) confirmedState(ctx context.Context, term int64) (State, error) {
 	if !w.engine.Fenced {
 		return w.engine.State(ctx)
@@ -135,8 +135,8 @@
 	return Authority{Term: term, Sequence: w.sequence}
 }
 
-// stepFenced sends the next order. After an error that leaves its effect open, the fence is
-// raised again: that makes the order impossible and returns the engine's state.
+// stepFenced sends the next order. After an error that leaves its effect uncertain, the next step
+// raises the fence again: the engine then refuses the order, and answers with its state.
 func (w *worker) stepFenced(ctx context.Context, term int64, plan placement.Plan, state State) bool {
 	o, ok := w.nextOrder(plan, state, itemBytes(state.Resident)+itemBytes(state.Loading))
 	if !ok {
@@ -150,11 +150,11 @@
 }
 
 // stepUnfenced stores the next order as an intent, then sends it. While an earlier intent is
-// unsettled no other order is sent: its memory stays reserved.
+// unsettled, no other order is sent: the memory of its item stays reserved.
 func (w *worker) stepUnfenced(ctx context.Context, term int64, plan placement.Plan, state State) bool {
 	settled, err := w.intents.settle(ctx, w.engine.ID, term, state)
 	if err != nil || !settled {
-		// An unload of an older plan may still take effect: no plan is confirmed.
+		// An unload under an older plan may still take effect: no plan is confirmed.
 		w.observe(w.engine.ID, state, 0)
 		w.count("settle", err)
 		return false
@@ -169,20 +169,20 @@
 		w.count("intent", err)
 		return false
 	}
-	// The write took time: the lease must still be held now. If not, the intent stays until it
-	// is settled, and the next step finds the term lost.
+	// The write took time: the lease must still be held now. If it is not, the intent stays until
+	// it is settled, and the next step finds that the term is lost.
 	if now, err := w.Term(); err != nil || now != term {
 		return false
 	}
 	err = w.send(ctx, w.nextAuthority(term), o)
-	w.intents.sendingEnded(context.WithoutCancel(ctx), id, errors.Is(err, ErrRefused))
+	w.intents.recordAttemptEnd(context.WithoutCancel(ctx), id, errors.Is(err, ErrRefused))
 	return err == nil
 }
 
-// nextOrder decides the engine's next order: a load that fits, or an unload that makes room for
-// one; false if there is none. used is the memory taken by items resident and loading, in bytes.
-// Items that the plan no longer wants stay until their room is needed: they may be wanted again.
-// One load runs at a time, and a leaving engine gets no order.
+// nextOrder returns the engine's next order: a load that fits, or an unload that frees memory for
+// one; false if there is none. used is the memory of resident and loading items, in bytes.
+// Items that are no longer in the plan stay until their memory is needed: a later plan may contain
+// them again. One load runs at a time, and a leaving engine gets no order.
 func (w *worker) nextOrder(plan placement.Plan, state State, used int64) (order, bool) {
 	if state.Leaving || len(state.Loading) > 0 {
 		return order{}, false
@@ -202,7 +202,8 @@
 	return order{}, false
 }
 
-// unwantedItem chooses the largest resident item that the plan does not want here and that may go.
+// unwantedItem returns the largest resident item that the plan does not place on this engine and that
+// may be unloaded; false if there is none.
 func (w *worker) unwantedItem(plan placement.Plan, state State, wanted []placement.Item) (placement.Item, bool) {
 	resident := append([]placement.Item(nil), state.Resident...)
 	sort.SliceStable(resident, func(i, j int) bool { return resident[i].Bytes > resident[j].Bytes })
@@ -227,7 +228,7 @@
 	return err
 }
 
-// count counts the result of a call by kind of error.
+// count counts a call by its result: ok, fenced, refused or failed.
 func (w *worker) count(call string, err error) {
 	result := "ok"
 	switch {
