--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -12,7 +12,7 @@
 		{ID: "engine-1", Kind: membership.KindEngine},
 		{ID: "engine-2", Kind: membership.KindEngine},
 	}})
-	view.MarkLeaving("engine-2") // It announced so itself; the list lags.
+	view.MarkLeaving("engine-2") // The engine announced it; the list lags.
 	for _, box := range view.Upstreams(membership.KindEngine) {
 		fmt.Println(box.ID, "leaving:", box.Leaving)
 	}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,12 +1,13 @@
-// Package membership is a box's view of the boxes and upstreams that there are.
+// Package membership holds a box's view of which boxes and upstreams exist.
 //
-// Two sources are joined: the platform's box list, which lags, and heartbeats and answers received
-// directly. Whatever leaves by either source gets nothing new. The package owns the view and the
-// ranking of boxes; it relies on its caller to feed it, and on nothing else.
+// The view combines two sources: the platform's box list, which lags, and heartbeats and answers
+// received directly. A box or upstream that is leaving according to either source gets nothing new.
+// The package owns the view and the ranking of boxes; it relies only on its caller, which passes in
+// the lists, heartbeats and announcements.
 //
-// It belongs to the native way, `ospreymoor serve`, where every box sends heartbeats to its whole
+// It belongs to the native mode, `ospreymoor serve`, where every box sends heartbeats to its whole
 // hall. The peers of `ospreymoor node` (internal/gateway) exchange load summaries with a few partners
-// instead, and a box counts as a member while the store lists it or its exchanges go on.
+// instead, and a box counts as a member while the store lists it or its exchanges continue.
 package membership
 
 import (
@@ -18,27 +19,27 @@
 // Kind is what runs on a box.
 type Kind string
 
-// The kinds of box.
+// The kinds of box: an entry box runs ospreymoor, the others are upstreams.
 const (
 	KindEntry   Kind = "entry"
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
 )
 
-// Box is one line of the platform's box list.
+// Box is one entry of the platform's box list.
 type Box struct {
 	ID   string `json:"id"`
 	Kind Kind   `json:"kind"`
 	Hall string `json:"hall"`
-	// Pool of an upstream.
+	// Pool is the pool that an upstream belongs to.
 	Pool string `json:"pool,omitempty"`
 	// Address is host:port; for an entry box, that of its peer listener.
 	Address string `json:"address"`
-	// Leaving boxes take nothing new.
+	// Leaving is set if the box accepts nothing new.
 	Leaving bool `json:"leaving,omitempty"`
-	// Fenced engines check the term of an order.
+	// Fenced is set for an engine that checks the term of an order.
 	Fenced bool `json:"fenced,omitempty"`
-	// Memory of an engine for models, in bytes.
+	// Memory is an engine's memory for models, in bytes.
 	Memory int64 `json:"memory,omitempty"`
 	// Slots is the number of requests that an engine runs at once at full speed.
 	Slots int `json:"slots,omitempty"`
@@ -62,18 +63,18 @@
 	Store bool `json:"store,omitempty"`
 }
 
-// View joins the box list, heartbeats and answers of upstreams. It is safe for concurrent use.
+// View combines the box list with heartbeats and answers of upstreams. It is safe for concurrent use.
 type View struct {
 	// self is this box's id.
 	self string
 
 	mu sync.Mutex
-	// lapse is the time without a heartbeat after which a peer counts as gone.
-	lapse time.Duration
-	list  List
+	// peerTimeout is the time without a heartbeat after which a peer counts as gone.
+	peerTimeout time.Duration
+	list        List
 	// peers by id.
 	peers map[string]lastHeartbeat
-	// leaving holds the ids of upstreams that announced themselves that they leave.
+	// leaving holds the ids of upstreams that announced that they are leaving.
 	leaving map[string]bool
 }
 
@@ -83,15 +84,15 @@
 	at   time.Time
 }
 
-// defaultLapse holds until SetSilence is called: 5 s.
-const defaultLapse = 5 * time.Second
+// defaultPeerTimeout is the timeout until SetLapse is called: 5 s.
+const defaultPeerTimeout = 5 * time.Second
 
-// NewView returns the empty view of a box with an id.
+// NewView returns an empty view for the box with the id self.
 func NewView(self string) *View {
-	return &View{self: self, lapse: defaultLapse, peers: map[string]lastHeartbeat{}, leaving: map[string]bool{}}
+	return &View{self: self, peerTimeout: defaultPeerTimeout, peers: map[string]lastHeartbeat{}, leaving: map[string]bool{}}
 }
 
-// SetList takes a box list in unless it is older than the one held.
+// SetList replaces the box list unless the new one is older.
 func (v *View) SetList(list List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,7 +104,7 @@
 	for _, box := range list.Boxes {
 		known[box.ID] = true
 	}
-	// A box that has gone from the list and comes back is a new one.
+	// A box that leaves the list and is listed again later is a new one, and not leaving.
 	for id := range v.leaving {
 		if !known[id] {
 			delete(v.leaving, id)
@@ -111,15 +112,15 @@
 	}
 }
 
-// SetLapse sets the time without a heartbeat after which a peer counts as gone: several times
-// the interval of heartbeats, which is longer in large fleets.
-func (v *View) SetLapse(lapse time.Duration) {
+// SetLapse sets the time without a heartbeat after which a peer counts as gone. It should be several
+// heartbeat intervals, and these are longer in large fleets.
+func (v *View) SetLapse(timeout time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lapse = lapse
+	v.peerTimeout = timeout
 }
 
-// Heartbeat takes a peer's heartbeat in.
+// Heartbeat records a peer's heartbeat; this box's own is ignored.
 func (v *View) Heartbeat(peer Peer) {
 	if peer.ID == v.self {
 		return
@@ -129,8 +130,8 @@
 	v.peers[peer.ID] = lastHeartbeat{peer: peer, at: time.Now()}
 }
 
-// MarkLeaving records that an upstream announced itself that it takes nothing new.
-// It reports whether that was not known.
+// MarkLeaving records that an upstream announced that it accepts nothing new.
+// It reports whether that was not known before.
 func (v *View) MarkLeaving(upstream string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -141,14 +142,14 @@
 	return true
 }
 
-// MarkStaying records that an upstream has started anew and takes requests again.
+// MarkStaying records that an upstream has restarted and accepts requests again.
 func (v *View) MarkStaying(upstream string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.leaving, upstream)
 }
 
-// AnnouncedLeaving lists the upstreams that announced themselves that they leave, by id.
+// AnnouncedLeaving returns the ids of the upstreams that announced that they are leaving, in order.
 func (v *View) AnnouncedLeaving() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -160,7 +161,7 @@
 	return ids
 }
 
-// Upstreams lists the boxes of a kind, with Leaving set if either source has it.
+// Upstreams returns the boxes of a kind, with Leaving set if either source says that the box is leaving.
 func (v *View) Upstreams(kind Kind) []Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -174,7 +175,7 @@
 	return boxes
 }
 
-// Entries lists the other entry boxes of the box list that are not leaving.
+// Entries returns the other entry boxes of the box list that are not leaving.
 func (v *View) Entries() []Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -187,7 +188,7 @@
 	return boxes
 }
 
-// Live lists the peers whose heartbeats have not lapsed and that are not leaving, by id.
+// Live returns the peers whose last heartbeat is recent enough and that are not leaving, ordered by id.
 func (v *View) Live() []Peer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -201,7 +202,7 @@
 	return peers
 }
 
-// LiveCount is the number of peers that Live lists.
+// LiveCount returns the number of peers that Live returns.
 func (v *View) LiveCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -214,26 +215,27 @@
 	return n
 }
 
-// live reports whether a peer's heartbeats have not lapsed and it is not leaving. The caller
-// holds the lock.
+// live reports whether a peer's last heartbeat is recent enough and it is not leaving. The caller
+// holds mu.
 func (v *View) live(h lastHeartbeat) bool {
-	return !h.peer.Leaving && time.Since(h.at) < v.lapse
+	return !h.peer.Leaving && time.Since(h.at) < v.peerTimeout
 }
 
-// FleetSize is the number of entry boxes that share the fleet's limits, this one included: by the
-// source that has more, so that a box takes too small a share of a limit rather than too large a one.
+// FleetSize returns the number of entry boxes that share the fleet's limits, this one included. It
+// uses the source that has more boxes: a box then takes too small a share of a limit rather than too
+// large a one.
 func (v *View) FleetSize() int {
 	return max(len(v.Entries()), v.LiveCount()) + 1
 }
 
-// Size is the number of boxes of all kinds in the list; 0 means that no list has come yet.
+// Size returns the number of boxes of all kinds in the list; 0 means that no list has been received yet.
 func (v *View) Size() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.list.Boxes)
 }
 
-// IsLeaving reports whether an upstream announced itself that it leaves.
+// IsLeaving reports whether an upstream announced that it is leaving.
 func (v *View) IsLeaving(upstream string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/pkg/membership/ranking.go
+++ b/pkg/membership/ranking.go
@@ -6,8 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders ids by a hash of purpose and id (rendezvous hashing). All boxes that know the same
-// ids get the same order without a message, and a lost box changes nobody else's place in it.
+// Rank returns ids ordered by a hash of purpose and id (rendezvous hashing). All boxes that know the
+// same ids compute the same order without exchanging messages, and the loss of a box leaves the
+// order of the others unchanged.
 func Rank(purpose string, ids []string) []string {
 	type scored struct {
 		id    string
@@ -30,7 +31,7 @@
 	return ranked
 }
 
-// Among reports whether id is one of the first n of the ranking for a purpose.
+// Among reports whether id is one of the first n ids in the ranking for a purpose.
 func Among(purpose string, ids []string, id string, n int) bool {
 	for i, ranked := range Rank(purpose, ids) {
 		if i >= n {
