--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,12 +14,12 @@
 
 // Client calls other boxes and keeps a connection to each. It is safe for concurrent use.
 type Client struct {
-	// Secret is the fleet's.
+	// Secret is the fleet's shared secret.
 	Secret string
-	// Dial makes a connection; it bounds its own time.
+	// Dial opens a connection; it must bound the time that it takes.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Set holds the counters.
-	Set *metrics.Set
+	// Metrics holds the counters.
+	Metrics *metrics.Set
 
 	mu    sync.Mutex
 	conns map[string]*jsonrpc2.Conn
@@ -27,18 +27,18 @@
 
 // NewClient returns a client without connections.
 func NewClient(secret string, dial func(ctx context.Context, network, address string) (net.Conn, error), set *metrics.Set) *Client {
-	return &Client{Secret: secret, Dial: dial, Set: set, conns: map[string]*jsonrpc2.Conn{}}
+	return &Client{Secret: secret, Dial: dial, Metrics: set, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call calls a method of the box at a peer address, over the kept connection if there is one. ctx bounds the call.
-// An error of the other box's handler is a *jsonrpc2.Error; any other error means that the call may or may not
+// Call calls a method of the box at a peer address, over the open connection to it if there is one. ctx bounds the
+// call. An error of the other box's handler is a *jsonrpc2.Error. Any other error means that the call may or may not
 // have been handled, and its connection is closed.
 func Call[A any](ctx context.Context, c *Client, address, method string, params any) (A, error) {
 	return call[A](ctx, c, address, method, params, c.drop)
 }
 
-// Try is Call for calls that are given less time than an answer may take on a connection that is sound: one that runs out of
-// its time leaves the connection to the other calls on it.
+// Try is Call with a ctx that may end before a healthy connection delivers the answer: a call that fails after its
+// ctx has ended leaves the connection open for the other calls on it.
 func Try[A any](ctx context.Context, c *Client, address, method string, params any) (A, error) {
 	return call[A](ctx, c, address, method, params, func(address string, conn *jsonrpc2.Conn, err error) {
 		if ctx.Err() == nil {
@@ -47,32 +47,32 @@
 	})
 }
 
-// call calls a method, and has failed decide what becomes of the connection of a call that failed.
-func call[A any](ctx context.Context, c *Client, address, method string, params any, failed func(address string, conn *jsonrpc2.Conn, err error)) (A, error) {
+// call calls a method; onFailure decides whether the connection of a failed call is closed.
+func call[A any](ctx context.Context, c *Client, address, method string, params any, onFailure func(address string, conn *jsonrpc2.Conn, err error)) (A, error) {
 	var answer A
 	conn, err := c.conn(ctx, address)
 	if err != nil {
 		return answer, errors.Annotatef(err, "calling %s at %s", method, address)
 	}
-	begun := time.Now()
+	start := time.Now()
 	err = conn.Call(ctx, method, params, &answer)
-	c.observe(method, begun, err)
+	c.recordCall(method, start, err)
 	if err != nil {
-		failed(address, conn, err)
+		onFailure(address, conn, err)
 		return answer, errors.Annotatef(err, "calling %s at %s", method, address)
 	}
 	return answer, nil
 }
 
-// observe counts a call that was sent, with how long it took.
-func (c *Client) observe(method string, begun time.Time, err error) {
-	c.Set.GetOrCreateHistogram(fmt.Sprintf("ospreymoor_peer_call_seconds{method=%q}", method)).Update(time.Since(begun).Seconds())
+// recordCall records the duration of a call that was sent, and counts it if it failed.
+func (c *Client) recordCall(method string, start time.Time, err error) {
+	c.Metrics.GetOrCreateHistogram(fmt.Sprintf("ospreymoor_peer_call_seconds{method=%q}", method)).Update(time.Since(start).Seconds())
 	if err != nil {
-		c.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_peer_calls_failed_total{method=%q}", method)).Inc()
+		c.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_peer_calls_failed_total{method=%q}", method)).Inc()
 	}
 }
 
-// Close ends all connections; a later Call connects anew.
+// Close closes all connections; a later Call opens a new one.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// conn returns the connection to an address, and makes it if there is none.
+// conn returns the connection to an address, and opens one if there is none.
 func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -107,15 +107,15 @@
 	return conn, nil
 }
 
-// connect makes a connection and sends the secret.
+// connect opens a connection and sends the secret.
 func (c *Client) connect(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	raw, err := c.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	stream := jsonrpc2.NewBufferedStream(counted(raw, c.Set), codec{})
-	// The connection outlives the call that makes it.
-	conn := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, noHandler{}, jsonrpc2.SetLogger(noLog{}))
+	stream := jsonrpc2.NewBufferedStream(newCountedConn(raw, c.Metrics), codec{})
+	// The connection outlives the call that opens it.
+	conn := jsonrpc2.NewConn(context.WithoutCancel(ctx), stream, noHandler{}, jsonrpc2.SetLogger(discardLogger{}))
 	var empty Empty
 	if err := conn.Call(ctx, MethodHello, Hello{Secret: c.Secret}, &empty); err != nil {
 		_ = conn.Close()
@@ -124,7 +124,7 @@
 	return conn, nil
 }
 
-// drop closes a connection after a failure other than an error that the other box answered.
+// drop closes a connection after a failed call, unless the failure is an error that the other box's handler returned.
 func (c *Client) drop(address string, conn *jsonrpc2.Conn, err error) {
 	var answered *jsonrpc2.Error
 	if errors.As(err, &answered) {
@@ -138,7 +138,7 @@
 	_ = conn.Close()
 }
 
-// noHandler ignores requests: calls go one way on a connection.
+// noHandler ignores requests: only the box that opened a connection sends calls on it.
 type noHandler struct{}
 
 // Handle ignores a request.
--- a/internal/peer/counted.go
+++ b/internal/peer/counted.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counted counts the bytes of a connection in both directions.
-func counted(conn net.Conn, set *metrics.Set) net.Conn {
+// newCountedConn returns conn with its bytes counted in both directions.
+func newCountedConn(conn net.Conn, set *metrics.Set) net.Conn {
 	return &countedConn{
 		Conn: conn,
 		in:   set.GetOrCreateCounter(`ospreymoor_peer_bytes_total{direction="in"}`),
@@ -21,14 +21,14 @@
 	in, out *metrics.Counter
 }
 
-// Read counts what came in.
+// Read reads from the connection and counts the bytes received.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Add(n)
 	return n, err
 }
 
-// Write counts what went out.
+// Write writes to the connection and counts the bytes sent.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out.Add(n)
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between boxes: JSON-RPC 2.0 over TCP, each message with its length before it.
+// Package peer carries calls between boxes: JSON-RPC 2.0 over TCP with length-prefixed messages.
 //
 // It owns the connections, the check of the fleet's secret and the bound on a message's size. It relies on
-// jsonrpc2 for matching answers to calls; every call is bounded by the caller's context.
+// jsonrpc2 to match answers to calls; every call is bounded by the caller's context.
 //
-// Both ways use Client, Server, Call and Handle. The methods and messages in messages.go are those of the
-// native way (`ospreymoor serve`, internal/box); `ospreymoor node` (internal/gateway) defines its own.
+// Both modes use Client, Server, Call and Handle. The methods and messages in messages.go are those of the
+// native mode (`ospreymoor serve`, internal/box); `ospreymoor node` (internal/gateway) defines its own.
 package peer
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -9,7 +9,7 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// Methods that boxes of the native way call on each other. The values are on the wire.
+// Methods that boxes in the native mode call on each other. The values are on the wire.
 const (
 	MethodHello     = "hello"
 	MethodHeartbeat = "beat"
@@ -20,19 +20,19 @@
 	MethodBurn      = "burn.all"
 )
 
-// Hello opens a connection; no other method is answered before it.
+// Hello is the first message on a connection; no other method is answered before it.
 type Hello struct {
 	Secret string `json:"secret"`
 }
 
-// Heartbeat describes its sender, with what changed since its last one.
+// Heartbeat describes its sender and what has changed since its last heartbeat.
 type Heartbeat struct {
 	Peer membership.Peer `json:"peer,omitzero"`
-	// Generations of the records that the box holds: those that changed, or all if Full.
+	// Generations are those of the records that the box holds: of the changed ones, or of all if Full is set.
 	Generations map[string]records.Generation `json:"generations,omitempty"`
 	// Full is set if Generations holds all records.
 	Full bool `json:"full,omitempty"`
-	// Sent is the number of requests that the box has sent to each upstream since its start; unchanged counts are
+	// Sent is the number of requests that the box has sent to each upstream since it started; unchanged counts are
 	// left out.
 	Sent map[string]int64 `json:"sent,omitempty"`
 	// Leaving lists upstreams that reported that they are leaving.
@@ -44,7 +44,7 @@
 	Names []string `json:"names"`
 }
 
-// RecordsResponse holds those of the records that the box has.
+// RecordsResponse holds the requested records that the box has.
 type RecordsResponse struct {
 	Records []records.Record `json:"records"`
 }
@@ -52,16 +52,16 @@
 // OutcomeRequest asks for the outcome of a run that the box has claimed.
 type OutcomeRequest struct {
 	RequestID string `json:"requestId"`
-	// Wait bounds how long the box waits for the end of a run under way; in nanoseconds on the wire.
+	// Wait bounds how long the box waits for the end of a run in progress; in nanoseconds on the wire.
 	Wait time.Duration `json:"wait"`
 }
 
-// RunOutcome is what became of a claimed run, as the box that claimed it knows.
+// RunOutcome is the outcome of a claimed run, as far as the box that claimed it knows.
 type RunOutcome string
 
 // The outcomes of a claimed run. The values are on the wire.
 const (
-	// RunUnknown: the box has forgotten the run, or the answer broke off.
+	// RunUnknown: the box no longer remembers the run, or the answer broke off.
 	RunUnknown RunOutcome = "unknown"
 	// RunNotRun: it was not sent to an upstream and will not be.
 	RunNotRun RunOutcome = "not run"
@@ -84,7 +84,7 @@
 	Body   []byte              `json:"body"`
 }
 
-// Demand is how many requests for each model ran, or would have run, at the same time in the mean.
+// Demand is the mean number of requests for each model that ran, or would have run, concurrently.
 type Demand struct {
 	// From is a box's id, or a hall's name in a report of the hall's controller.
 	From   string             `json:"from"`
@@ -103,10 +103,10 @@
 	Snapshots []burn.Snapshot `json:"snapshots"`
 }
 
-// Empty is the answer of methods without a result.
+// Empty is the result of methods that return none.
 type Empty struct{}
 
-// decode reads a request's parameters; without any, the zero value.
+// decode returns a request's parameters; the zero value if it has none.
 func decode[T any](raw *json.RawMessage) (T, error) {
 	var params T
 	if raw == nil {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,35 +14,36 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrSecret is the answer to a caller without the fleet's secret.
-const ErrSecret = errors.ConstError("peer secret differs: give all boxes the same --peer-secret")
+// ErrWrongSecret is the error that a caller without the fleet's secret receives.
+const ErrWrongSecret = errors.ConstError("peer secret differs: give all boxes the same --peer-secret")
 
-// handler answers one method.
+// handler handles the calls of one method.
 type handler func(ctx context.Context, raw *json.RawMessage) (any, error)
 
-// acceptPause is the pause after an error of accept, as when the process has no descriptors left.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the pause after Accept has failed, such as when the process has no file descriptors left.
+const acceptRetryDelay = 100 * time.Millisecond
 
 // Server answers the calls of other boxes.
 type Server struct {
-	// OnAcceptError is called with each error of accept but that of a closed listener; nil ignores them. Set it
+	// OnAcceptError is called with each error of Accept except that of a closed listener; nil ignores them. Set it
 	// before Serve.
 	OnAcceptError func(error)
 
 	secret   string
-	set      *metrics.Set
+	metrics  *metrics.Set
 	handlers map[string]handler
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// NewServer returns a server without methods; each caller must send secret first. Counters go to set.
+// NewServer returns a server without methods. Each caller must send secret first. set holds the counters.
 func NewServer(secret string, set *metrics.Set) *Server {
-	return &Server{secret: secret, set: set, handlers: map[string]handler{}, conns: map[net.Conn]struct{}{}}
+	return &Server{secret: secret, metrics: set, handlers: map[string]handler{}, conns: map[net.Conn]struct{}{}}
 }
 
-// Handle makes f answer a method. Call it before Serve. An error of f reaches the caller as its text only.
+// Handle registers f as the handler of a method. Call it before Serve. The caller receives only the text of an
+// error that f returns.
 func Handle[Q, A any](s *Server, method string, f func(context.Context, Q) (A, error)) {
 	s.handlers[method] = func(ctx context.Context, raw *json.RawMessage) (any, error) {
 		params, err := decode[Q](raw)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Serve answers connections until the listener is closed. Calls on one connection run concurrently.
+// Serve accepts and serves connections until the listener is closed. Calls on one connection run concurrently.
 func (s *Server) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -61,21 +62,21 @@
 			return
 		}
 		if err != nil {
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 			continue
 		}
 		go s.serve(conn)
 	}
 }
 
-func (s *Server) acceptFailed(err error) {
+func (s *Server) handleAcceptError(err error) {
 	if s.OnAcceptError != nil {
 		s.OnAcceptError(err)
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +89,8 @@
 	s.track(conn, true)
 	defer s.track(conn, false)
 	session := &session{server: s}
-	stream := jsonrpc2.NewBufferedStream(counted(conn, s.set), codec{})
-	rpc := jsonrpc2.NewConn(context.Background(), stream, session, jsonrpc2.SetLogger(noLog{}))
+	stream := jsonrpc2.NewBufferedStream(newCountedConn(conn, s.metrics), codec{})
+	rpc := jsonrpc2.NewConn(context.Background(), stream, session, jsonrpc2.SetLogger(discardLogger{}))
 	<-rpc.DisconnectNotify()
 }
 
@@ -103,38 +104,38 @@
 	}
 }
 
-// session is one connection's state.
+// session is the state of one connection.
 type session struct {
 	server *Server
-	// known is set once the caller has sent the secret.
-	known atomic.Bool
+	// authenticated is set once the caller has sent the secret.
+	authenticated atomic.Bool
 }
 
-// Handle answers one request; each runs in a goroutine of its own once the caller is known.
+// Handle answers one request. Once the caller is authenticated, each request runs in its own goroutine.
 func (s *session) Handle(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
-	if !s.known.Load() {
-		s.hello(ctx, conn, request)
+	if !s.authenticated.Load() {
+		s.authenticate(ctx, conn, request)
 		return
 	}
 	go s.answer(ctx, conn, request)
 }
 
-// hello accepts the secret and nothing else; any other message ends the connection.
-func (s *session) hello(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
+// authenticate accepts only a hello with the right secret; any other message closes the connection.
+func (s *session) authenticate(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	hello, err := decode[Hello](request.Params)
-	right := subtle.ConstantTimeCompare([]byte(hello.Secret), []byte(s.server.secret)) == 1
-	if err != nil || request.Method != MethodHello || !right {
-		s.server.set.GetOrCreateCounter(`ospreymoor_peer_refused_total`).Inc()
-		_ = conn.ReplyWithError(ctx, request.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: ErrSecret.Error()})
+	secretMatches := subtle.ConstantTimeCompare([]byte(hello.Secret), []byte(s.server.secret)) == 1
+	if err != nil || request.Method != MethodHello || !secretMatches {
+		s.server.metrics.GetOrCreateCounter(`ospreymoor_peer_refused_total`).Inc()
+		_ = conn.ReplyWithError(ctx, request.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: ErrWrongSecret.Error()})
 		_ = conn.Close()
 		return
 	}
-	s.known.Store(true)
+	s.authenticated.Store(true)
 	_ = conn.Reply(ctx, request.ID, Empty{})
 }
 
-// answer runs the handler of one request and replies. A reply that cannot be sent is dropped: its connection is
-// broken, and the caller's end reports that to the caller.
+// answer runs the handler of one request and replies. A reply that cannot be sent is dropped: the connection is
+// broken, and the client side reports that to the caller.
 func (s *session) answer(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	handle, ok := s.server.handlers[request.Method]
 	if !ok {
@@ -149,8 +150,8 @@
 	_ = conn.Reply(ctx, request.ID, result)
 }
 
-// noLog discards the library's line for each broken connection; callers count failed calls instead.
-type noLog struct{}
+// discardLogger discards the line that jsonrpc2 logs for each broken connection; callers count failed calls instead.
+type discardLogger struct{}
 
-// Printf discards a line.
-func (noLog) Printf(string, ...any) {}
+// Printf discards a log line.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -18,7 +18,7 @@
 
 func TestPeer(t *testing.T) { spectest.Run(t, "Peer") }
 
-// failingListener fails some times before it accepts.
+// failingListener fails the first Accept calls, as when the process has no file descriptors left.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("a server", func() {
-	It("goes on after errors of accept, reports them, and ends with its listener", func() {
+	It("continues after errors of Accept, reports them, and stops when its listener is closed", func() {
 		spectest.Bubble(func() {
 			network := &spectest.Network{}
 			listener := &failingListener{Listener: network.Listen("a:1")}
