--- a/pkg/eventstream/eventstream.go
+++ b/pkg/eventstream/eventstream.go
@@ -1,8 +1,8 @@
-// Package eventstream cuts a stream of server-sent events into whole events.
+// Package eventstream splits a stream of server-sent events into whole events.
 //
-// It owns nothing and relies on nothing but the source that it reads. internal/gateway uses it, so that
-// a stream which breaks can resume after the last whole event. `ospreymoor serve` has no use for it: its
-// engines answer by typed messages.
+// It keeps no state beyond one reader and relies only on the source that it reads. internal/gateway uses
+// it, so that a stream that breaks can resume after the last whole event. `ospreymoor serve` does not need
+// it: its engines answer with typed messages.
 package eventstream
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/juju/errors"
 )
 
-// MaxEventBytes bounds one event, so that a faulty upstream can't fill the memory.
+// MaxEventBytes bounds one event, in bytes, so that a faulty upstream can't exhaust the memory: 1 MiB.
 const MaxEventBytes = 1 << 20
 
-// Kinds of failure.
+// Errors that Reader.Next returns.
 const (
 	// ErrPartial means that the stream ended inside an event.
 	ErrPartial = errors.ConstError("stream ended inside an event: resume it after the last whole one")
@@ -25,32 +25,32 @@
 	ErrTooLong = errors.ConstError("event over a megabyte: the upstream is faulty")
 )
 
-// Event is one whole event as it came.
+// Event is one whole event.
 type Event struct {
-	// Bytes are the event's lines with the empty line that ends it.
+	// Bytes are the event's lines as received, with the empty line that ends it.
 	Bytes []byte
-	// ID is the event's id; empty if it has none.
+	// ID is the value of the event's id field; empty if it has none.
 	ID string
 }
 
-// Reader reads events. It is not safe for concurrent use.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 }
 
-// NewReader returns a reader of source.
+// NewReader returns a reader of the events in source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReader(source)}
 }
 
-// Next returns the next whole event; an event that is not whole is never returned. The error is io.EOF
-// if the stream ended between events, ErrPartial if it ended inside one, ErrTooLong, or that of the
-// source.
+// Next returns the next whole event; it never returns a part of one. The error is io.EOF if the stream
+// ended between events, ErrPartial if it ended inside one, ErrTooLong if an event exceeds MaxEventBytes,
+// or that of the source.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	for {
-		piece, err := r.source.ReadSlice('\n')
-		event.Bytes = append(event.Bytes, piece...)
+		chunk, err := r.source.ReadSlice('\n')
+		event.Bytes = append(event.Bytes, chunk...)
 		if len(event.Bytes) > MaxEventBytes {
 			return Event{}, ErrTooLong
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// lastLine returns the last line of text that ends in a line end, without that end.
+// lastLine returns the last line of text, without its line break. text must end in a line break.
 func lastLine(text []byte) []byte {
 	text = text[:len(text)-1]
 	text = text[bytes.LastIndexByte(text, '\n')+1:]
--- a/pkg/eventstream/eventstream_test.go
+++ b/pkg/eventstream/eventstream_test.go
@@ -30,7 +30,7 @@
 }
 
 var _ = Describe("a reader", func() {
-	It("returns whole events as they came, with their ids", func() {
+	It("returns whole events byte for byte, with their ids", func() {
 		events, err := readAll(iotest.OneByteReader(strings.NewReader(whole)))
 		Expect(err).To(Equal(io.EOF))
 		Expect(events).To(HaveLen(3))
@@ -71,7 +71,7 @@
 		Expect(err).To(MatchError(broken))
 	})
 
-	It("bounds an event", func() {
+	It("rejects an event over the size limit", func() {
 		_, err := readAll(strings.NewReader("data: " + strings.Repeat("x", eventstream.MaxEventBytes) + "\n\n"))
 		Expect(err).To(MatchError(eventstream.ErrTooLong))
 	})
@@ -84,14 +84,14 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		events, err := readAll(strings.NewReader(text))
 		if err == nil {
-			t.Fatal("a reader that ends without an error")
+			t.Fatal("the reader ended without an error")
 		}
 		joined := ""
 		for _, event := range events {
 			joined += string(event.Bytes)
 		}
 		if !strings.HasPrefix(text, joined) {
-			t.Fatalf("events %q are not the beginning of %q", joined, text)
+			t.Fatalf("events %q are not a prefix of %q", joined, text)
 		}
 	})
 }
