--- a/pkg/pause/pause.go
+++ b/pkg/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time that the end of a context may cut short. Both ways use it:
-// `ospreymoor node` in its loops, `ospreymoor serve` by pkg/kv.
+// Package pause waits for a duration or until a context ends. Both modes use it: `ospreymoor node` in
+// its loops, `ospreymoor serve` through pkg/kv.
 package pause
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// For waits for span and returns nil, or returns the context's error as soon as the context ends. A
-// span of 0 or less does not wait.
-func For(ctx context.Context, span time.Duration) error {
-	if span <= 0 {
+// For waits for duration and returns nil, or returns the context's error as soon as the context ends.
+// With a duration of 0 or less, it does not wait and returns the context's error, if any.
+func For(ctx context.Context, duration time.Duration) error {
+	if duration <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
