--- a/pkg/logfield/logfield.go
+++ b/pkg/logfield/logfield.go
@@ -1,11 +1,11 @@
-// Package logfield makes the fields of log lines that the logging library would write at too great a
+// Package logfield builds the log fields that the logging library (zap) would write at too great
 // length. `ospreymoor node` uses it.
 package logfield
 
 import "go.uber.org/zap"
 
-// Error is the field of an error's message, without the trace that annotated errors carry. It adds
-// nothing to the line if err is nil.
+// Error returns a field with err's message, without the stack trace that annotated errors carry. The
+// field adds nothing to the line if err is nil.
 func Error(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
