--- a/pkg/logfield/logfield.go
+++ b/pkg/logfield/logfield.go
@@ -1,5 +1,5 @@
 // Package logfield builds the log fields that the logging library (zap) would write at too great
-// length. `ospreymoor node` uses it.
+// length. Both modes use it.
 package logfield
 
 import "go.uber.org/zap"
