--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -13,11 +13,11 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// ErrInvalid means that a bundle's text can't be used; the message names line and remedy.
+// ErrInvalid means that a bundle's text is invalid; the message says where and how to correct it.
 const ErrInvalid = errors.ConstError("bundle invalid")
 
-// maxTextBytes bounds a bundle's text, in bytes: it is stored as one value of at most
-// kv.MaxValueBytes, bound of the platform, and JSON may lengthen it.
+// maxTextBytes bounds a bundle's text, in bytes. The text is stored as one value of at most
+// kv.MaxValueBytes, which is the platform's bound, and its encoding as JSON may be longer.
 const maxTextBytes = kv.MaxValueBytes / 2
 
 var (
@@ -25,8 +25,8 @@
 	weightPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$`)
 )
 
-// Parse reads and checks a bundle and fills in defaults. source names the text in errors, such as
-// a file's name. The error is ErrInvalid.
+// Parse parses and checks a bundle and fills in defaults. source names the text in errors, for
+// instance by a file's name. The error is ErrInvalid.
 func Parse(source string, text []byte) (*Bundle, error) {
 	if len(text) > maxTextBytes {
 		return nil, invalidf("%s: %d bytes, at most %d: split the customer's models over two customers", source, len(text), maxTextBytes)
@@ -43,12 +43,12 @@
 	return &b, nil
 }
 
-// invalidf is an ErrInvalid with its own message.
+// invalidf returns an ErrInvalid with a formatted message.
 func invalidf(format string, args ...any) error {
 	return errors.WithType(errors.Errorf(format, args...), ErrInvalid)
 }
 
-// check finds the first thing that is wrong.
+// check returns an error for the first invalid field.
 func (b *Bundle) check() error {
 	if !namePattern.MatchString(b.Customer) {
 		return invalidf("customer %q: use 1 to 63 lower-case letters, digits and dashes", b.Customer)
@@ -69,7 +69,7 @@
 	if len(b.Callers) == 0 {
 		return invalidf("callers: name at least one, with its token-sha256")
 	}
-	names := newNames("caller")
+	names := newNameSet("caller")
 	for _, caller := range b.Callers {
 		if err := names.add(caller.Name); err != nil {
 			return err
@@ -99,15 +99,15 @@
 	return nil
 }
 
-func (l Limits) check(of string) error {
+func (l Limits) check(owner string) error {
 	if l.RequestsPerSecond < 0 || l.InFlight < 0 || l.Weight < 0 {
-		return invalidf("%s: limits are 0 (none) or above", of)
+		return invalidf("%s: limits are 0 (none) or above", owner)
 	}
 	return nil
 }
 
 func (b *Bundle) checkModels() error {
-	names := newNames("model")
+	names := newNameSet("model")
 	for _, model := range b.Models {
 		if err := names.add(model.Name); err != nil {
 			return err
@@ -126,7 +126,7 @@
 }
 
 func (b *Bundle) checkAdapters() error {
-	names := newNames("adapter")
+	names := newNameSet("adapter")
 	for _, adapter := range b.Adapters {
 		if err := names.add(adapter.Model + "/" + adapter.Name); err != nil {
 			return err
@@ -142,7 +142,7 @@
 }
 
 func (b *Bundle) checkServices() error {
-	names := newNames("service")
+	names := newNameSet("service")
 	for _, service := range b.Services {
 		if err := names.add(service.Name); err != nil {
 			return err
@@ -159,28 +159,28 @@
 	return nil
 }
 
-func checkWeights(of, weights string, memory Size) error {
+func checkWeights(owner, weights string, memory Size) error {
 	if !weightPattern.MatchString(weights) {
-		return invalidf("%s: weights %q: use letters, digits, dots, dashes and underscores", of, weights)
+		return invalidf("%s: weights %q: use letters, digits, dots, dashes and underscores", owner, weights)
 	}
 	if memory <= 0 {
-		return invalidf("%s: give memory, such as 14GiB", of)
+		return invalidf("%s: give memory, such as 14GiB", owner)
 	}
 	return nil
 }
 
-// names finds malformed names and names used twice, of one kind.
-type names struct {
+// nameSet detects invalid and duplicate names of one kind.
+type nameSet struct {
 	kind string
 	seen map[string]bool
 }
 
-func newNames(kind string) names { return names{kind: kind, seen: map[string]bool{}} }
+func newNameSet(kind string) nameSet { return nameSet{kind: kind, seen: map[string]bool{}} }
 
-func (n names) add(name string) error {
-	last := name[strings.LastIndexByte(name, '/')+1:]
-	if !namePattern.MatchString(last) {
-		return invalidf("%s %q: use 1 to 63 lower-case letters, digits and dashes", n.kind, last)
+func (n nameSet) add(name string) error {
+	base := name[strings.LastIndexByte(name, '/')+1:]
+	if !namePattern.MatchString(base) {
+		return invalidf("%s %q: use 1 to 63 lower-case letters, digits and dashes", n.kind, base)
 	}
 	if n.seen[name] {
 		return invalidf("%s %s stands twice: remove or rename one", n.kind, name)
--- a/pkg/bundle/registry.go
+++ b/pkg/bundle/registry.go
@@ -14,17 +14,18 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// Kinds of refusal. Each message names what to do next.
+// Errors of the Registry. Each message says what to do next.
 const (
 	// ErrVersionUsed means that another text was signed off under this version.
 	ErrVersionUsed = errors.ConstError("version already signed off with another text: raise the version")
 	// ErrNotSignedOff means that no such version was signed off.
 	ErrNotSignedOff = errors.ConstError("version not signed off: run bundle sign-off first")
-	// ErrOlder means that the version is not above the one in force, or in force last.
+	// ErrOlder means that the version is not above the one in force or, if that was retired, the one
+	// last in force.
 	ErrOlder = errors.ConstError("version not above the one in force: sign off the content as a higher version")
 	// ErrNotInForce means that the version to retire is not the one in force.
 	ErrNotInForce = errors.ConstError("version not in force: see bundle list")
-	// ErrTokenUsed means that another bundle in force has a caller with the same token.
+	// ErrTokenUsed means that another customer's bundle in force has a caller with the same token.
 	ErrTokenUsed = errors.ConstError("a caller's token is in use already: make a new random token")
 )
 
@@ -41,24 +42,25 @@
 type Registry struct {
 	Store kv.Store
 	// Fits returns an error with the figures if the bundles of next can't all be kept resident while
-	// those of current give way to them. Optional, for embedders: nil accepts all.
+	// those of current are still resident. Optional, for embedders: nil accepts all.
 	Fits func(current, next []*Bundle) error
 
 	mu sync.Mutex
-	// texts holds the parsed versions by TextKey: they never change.
-	texts map[string]*Bundle
+	// bundles caches the parsed versions by TextKey; a signed-off version never changes.
+	bundles map[string]*Bundle
 }
 
-// changeTimeout bounds one change when its context has no deadline: 10 s.
+// changeTimeout bounds one SignOff, Roll or Retire if its context has no deadline: 10 s.
 const changeTimeout = 10 * time.Second
 
-// SignOff stores a checked text for good and returns its digest. Doing it again with the same text
-// is no error; with another text it is ErrVersionUsed. After kv.ErrUnknown it may be stored.
+// SignOff stores a checked text permanently and returns its digest. Signing off the same text again
+// succeeds; another text under the same version is ErrVersionUsed. After kv.ErrUnknown the text may
+// or may not be stored.
 //
-// Retry: an attempt whose outcome was lost is made again at once if the key is still free. Each
-// turn costs a write and a read of the store, and the deadline of ctx ends the turns.
+// Retry: an attempt whose outcome is unknown is repeated immediately if the key is still free. Each
+// attempt costs a write and a read of the store, and the deadline of ctx ends the attempts.
 func (r *Registry) SignOff(ctx context.Context, b *Bundle, text []byte) (string, error) {
-	ctx, cancel := r.bounded(ctx)
+	ctx, cancel := r.withDeadline(ctx)
 	defer cancel()
 	digest := textDigest(text)
 	value, err := json.Marshal(Text{YAML: string(text), Digest: digest, SignedAt: time.Now().UTC()})
@@ -74,7 +76,7 @@
 		if !errors.Is(err, kv.ErrUnknown) && !errors.Is(err, kv.ErrConflict) {
 			return "", err
 		}
-		// The key is written once, so its present value settles the matter.
+		// The key is written only once, so its current value shows the outcome.
 		stored, readErr := r.text(ctx, b.Customer, b.Version)
 		switch {
 		case readErr == nil && stored.Digest == digest:
@@ -82,7 +84,7 @@
 		case readErr == nil:
 			return "", errors.Annotatef(ErrVersionUsed, "%s version %d", b.Customer, b.Version)
 		case !errors.Is(readErr, ErrNotSignedOff):
-			// The key can't be read back either; the cause of the write's failure is the one to report.
+			// The key can't be read back either: report the cause of the failed write.
 			return "", fmt.Errorf("%w: %w", err, kv.ErrUnknown)
 		}
 	}
@@ -90,12 +92,12 @@
 
 // Roll puts a signed-off version in force and returns the table's new generation.
 //
-// The version must be above the one in force, or in force last; none of its tokens may be in use by
-// another customer; and Fits must accept the bundles in force after it. All three are checked
-// inside the swap of the table, so that two rolls which fit only singly can't both pass. The
-// errors are ErrNotSignedOff, ErrOlder, ErrTokenUsed, those of Fits and those of the store.
+// The version must be above the one in force or last in force; none of its tokens may be in use by
+// another customer; and Fits must accept the bundles that will then be in force. All three are checked
+// inside the compare-and-swap of the table, so that of two rolls that fit only one at a time, one
+// fails. The errors are ErrNotSignedOff, ErrOlder, ErrTokenUsed, those of Fits and those of the store.
 func (r *Registry) Roll(ctx context.Context, customer string, version uint64) (int64, error) {
-	ctx, cancel := r.bounded(ctx)
+	ctx, cancel := r.withDeadline(ctx)
 	defer cancel()
 	next, err := r.Load(ctx, customer, version)
 	if err != nil {
@@ -114,7 +116,7 @@
 // Retire takes the version in force out of service and returns the table's new generation. The
 // error is ErrNotInForce for any other version, or one of the store.
 func (r *Registry) Retire(ctx context.Context, customer string, version uint64) (int64, error) {
-	ctx, cancel := r.bounded(ctx)
+	ctx, cancel := r.withDeadline(ctx)
 	defer cancel()
 	table, err := kv.UpdateDocument(ctx, r.Store, TableKey, func(table Table) (Table, error) {
 		old, ok := table.Customers[customer]
@@ -122,7 +124,7 @@
 			return table, errors.Annotatef(ErrNotInForce, "%s: retire %d, in force %d", customer, version, old.Version)
 		}
 		old.Retired, old.Since = true, time.Now().UTC()
-		return table.with(customer, old), nil
+		return table.withEntry(customer, old), nil
 	})
 	return table.Revision, err
 }
@@ -133,13 +135,13 @@
 	if err != nil {
 		return nil, err
 	}
-	records, err := r.Store.List(ctx, textKeys+customer+"/")
+	records, err := r.Store.List(ctx, textKeyPrefix+customer+"/")
 	if err != nil {
 		return nil, err
 	}
 	var list []Summary
 	for _, record := range records {
-		version, err := versionOf(record.Key)
+		version, err := versionFromKey(record.Key)
 		if err != nil {
 			return nil, err
 		}
@@ -154,12 +156,12 @@
 	return list, nil
 }
 
-// Load returns a signed-off version, or ErrNotSignedOff. Versions never change, so they are read
-// once.
+// Load returns a signed-off version, or ErrNotSignedOff. Signed-off versions never change, so each is
+// read only once and cached.
 func (r *Registry) Load(ctx context.Context, customer string, version uint64) (*Bundle, error) {
 	key := TextKey(customer, version)
 	r.mu.Lock()
-	b := r.texts[key]
+	b := r.bundles[key]
 	r.mu.Unlock()
 	if b != nil {
 		return b, nil
@@ -174,14 +176,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.texts == nil {
-		r.texts = map[string]*Bundle{}
+	if r.bundles == nil {
+		r.bundles = map[string]*Bundle{}
 	}
-	r.texts[key] = b
+	r.bundles[key] = b
 	return b, nil
 }
 
-// withVersion returns table with next in force, if tokens and memory allow it.
+// withVersion returns table with next in force, or an error if one of its tokens is in use by another
+// customer or Fits rejects it.
 func (r *Registry) withVersion(ctx context.Context, table Table, next *Bundle) (Table, error) {
 	current, err := r.inForce(ctx, table)
 	if err != nil {
@@ -197,7 +200,7 @@
 		}
 	}
 	entry := TableEntry{Version: next.Version, Since: time.Now().UTC()}
-	return table.with(next.Customer, entry), nil
+	return table.withEntry(next.Customer, entry), nil
 }
 
 // inForce loads the bundles that a table has in force.
@@ -213,8 +216,8 @@
 	return bundles, nil
 }
 
-// bounded is ctx with a deadline, changeTimeout away if it has none.
-func (r *Registry) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline returns ctx, with a deadline after changeTimeout if it has none.
+func (r *Registry) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
--- a/pkg/bundle/table.go
+++ b/pkg/bundle/table.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// TableKey is the key of the table in force in the key-value service.
+// TableKey is the key of the table of versions in force in the key-value service.
 const TableKey = "fleet/inforce"
 
 // States of a signed-off version.
@@ -18,20 +18,20 @@
 	StateRetired   = "retired"
 )
 
-// Table holds the version of each customer that is in force.
+// Table holds each customer's version in force, or last in force.
 type Table struct {
 	Customers map[string]TableEntry `json:"customers"`
 }
 
-// TableEntry is one customer's line in the table.
+// TableEntry is one customer's entry in the table.
 type TableEntry struct {
 	Version uint64 `json:"version"`
-	// Retired versions were in force last but serve nothing now.
+	// Retired is set if the version was the last in force and serves nothing now.
 	Retired bool      `json:"retired,omitempty"`
 	Since   time.Time `json:"since"`
 }
 
-// Serving lists the customers with a version in force, in order.
+// Serving returns the names of the customers with a version in force, sorted.
 func (t Table) Serving() []string {
 	var customers []string
 	for customer, entry := range t.Customers {
@@ -43,8 +43,8 @@
 	return customers
 }
 
-// with is the table with another entry for a customer; t stays as it is.
-func (t Table) with(customer string, entry TableEntry) Table {
+// withEntry returns a copy of the table in which a customer has another entry; t is not changed.
+func (t Table) withEntry(customer string, entry TableEntry) Table {
 	next := Table{Customers: make(map[string]TableEntry, len(t.Customers)+1)}
 	for name, old := range t.Customers {
 		next.Customers[name] = old
@@ -53,7 +53,7 @@
 	return next
 }
 
-// state is the State of one of the customer's versions.
+// state returns the State constant for one of the customer's signed-off versions.
 func (e TableEntry) state(version uint64) string {
 	switch {
 	case version != e.Version:
--- a/pkg/bundle/text.go
+++ b/pkg/bundle/text.go
@@ -15,19 +15,19 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// textKeys is the prefix of the keys of signed-off bundles in the key-value service.
-const textKeys = "bundles/"
+// textKeyPrefix is the prefix of the keys of signed-off bundles in the key-value service.
+const textKeyPrefix = "bundles/"
 
-// Text is a signed-off bundle as it is stored.
+// Text is the stored form of a signed-off bundle.
 type Text struct {
 	YAML     string    `json:"yaml"`
 	Digest   string    `json:"digest"`
 	SignedAt time.Time `json:"signedAt"`
 }
 
-// TextKey is the key of a signed-off bundle in the key-value service.
+// TextKey returns the key of a signed-off bundle in the key-value service.
 func TextKey(customer string, version uint64) string {
-	return fmt.Sprintf("%s%s/%d", textKeys, customer, version)
+	return fmt.Sprintf("%s%s/%d", textKeyPrefix, customer, version)
 }
 
 // DecodeText decodes the value stored under a TextKey.
@@ -53,13 +53,13 @@
 	return text, errors.Annotatef(err, "decoding %s", record.Key)
 }
 
-// versionOf is the version in a TextKey.
-func versionOf(key string) (uint64, error) {
+// versionFromKey returns the version in a TextKey.
+func versionFromKey(key string) (uint64, error) {
 	version, err := strconv.ParseUint(key[strings.LastIndexByte(key, '/')+1:], 10, 64)
 	return version, errors.Annotatef(err, "key %s", key)
 }
 
-// textDigest is the SHA-256 of a bundle's text in hex.
+// textDigest returns the SHA-256 of a bundle's text in hex.
 func textDigest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
--- a/pkg/bundle/units.go
+++ b/pkg/bundle/units.go
@@ -10,7 +10,7 @@
 // Size is a number of bytes, written as 14GiB or 512MiB.
 type Size int64
 
-// UnmarshalYAML reads a size with its unit.
+// UnmarshalYAML parses a size with its unit.
 func (s *Size) UnmarshalYAML(decode func(any) error) error {
 	var text string
 	if err := decode(&text); err != nil {
@@ -28,7 +28,7 @@
 // Duration is a time.Duration, written as 880ms or 1m30s.
 type Duration time.Duration
 
-// UnmarshalYAML reads a duration with its unit.
+// UnmarshalYAML parses a duration with its unit.
 func (d *Duration) UnmarshalYAML(decode func(any) error) error {
 	var text string
 	if err := decode(&text); err != nil {
