--- a/pkg/burn/burn.go
+++ b/pkg/burn/burn.go
@@ -1,12 +1,12 @@
-// Package burn counts how models and services are served against their targets, and reports the
-// error budget and the burn rates.
+// Package burn counts the requests to models and services by whether their targets were met, and
+// reports error budgets and burn rates.
 //
-// Each box counts for itself under its incarnation, and counts only grow. A snapshot can
-// therefore be kept by other boxes and merged in any order: the latest of each incarnation counts,
-// also after the box is gone. The package owns the counts and the arithmetic; internal/box decides
-// what is late and hands snapshots to other boxes.
+// Each box counts its own requests under its incarnation, and counts only grow. Other boxes can
+// therefore keep a snapshot and merge snapshots in any order: the latest of each incarnation is used,
+// even after the box is gone. The package owns the counts and the arithmetic; internal/box decides
+// which requests are late and sends snapshots to other boxes.
 //
-// It belongs to the native way, `ospreymoor serve`. `ospreymoor node` has no burn report; its
+// It belongs to the native mode, `ospreymoor serve`. `ospreymoor node` has no burn report; its
 // metrics count requests by outcome instead.
 package burn
 
@@ -16,27 +16,27 @@
 	"time"
 )
 
-// Result is the outcome of one request as the report counts it.
+// Result is the outcome of one request, as the report counts it.
 type Result int
 
 // The results of a request.
 const (
-	// WithinTarget requests were served whole, within the targets.
+	// WithinTarget means that the request was served completely, within its targets.
 	WithinTarget Result = iota
-	// Late requests were served whole, beyond a target.
+	// Late means that the request was served completely, but missed a target.
 	Late
-	// Failed requests broke off, or their outcome is unknown.
+	// Failed means that the answer broke off or the outcome is unknown.
 	Failed
-	// Refused requests were not run.
+	// Refused means that the request was not run.
 	Refused
 )
 
 const (
-	// slotSpan is the span of one slot of the windows: 5 min.
-	slotSpan = 5 * time.Minute
-	// longSlots is the long window, 12 slots or an hour.
+	// slotDuration is the length of one slot of the windows: 5 min.
+	slotDuration = 5 * time.Minute
+	// longSlots is the long window, in slots: 12, or an hour.
 	longSlots = 12
-	// shortSlots is the short window, the slot under way and the one before: 5 to 10 min.
+	// shortSlots is the short window, in slots: the current one and the one before it, 5 to 10 min.
 	shortSlots = 2
 )
 
@@ -50,15 +50,15 @@
 	Within    uint64  `json:"within,omitempty"`
 	Late      uint64  `json:"late,omitempty"`
 	Failed    uint64  `json:"failed,omitempty"`
-	// Refused counts by reason.
+	// Refused is the number of refused requests by reason.
 	Refused map[string]uint64 `json:"refused,omitempty"`
-	// Slots are the latest spans of time, oldest first.
+	// Slots are the latest slots with requests, oldest first.
 	Slots []Slot `json:"slots,omitempty"`
 }
 
-// Slot counts the requests of one span of time.
+// Slot counts the requests that ended within one slot of time.
 type Slot struct {
-	// Number is the span's time since 1970 divided by slotSpan.
+	// Number is the time from 1970 to the slot's start, divided by slotDuration.
 	Number int64  `json:"n"`
 	Total  uint64 `json:"t"`
 	Missed uint64 `json:"m,omitempty"`
@@ -68,13 +68,13 @@
 type Snapshot struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
-	// Sequence grows with each request: the highest is the latest.
+	// Sequence grows with each request: of one incarnation's snapshots, the one with the highest is the latest.
 	Sequence uint64    `json:"sequence"`
 	Since    time.Time `json:"since"`
 	Lines    []Counts  `json:"lines"`
 }
 
-// Recorder counts for one box. It is safe for concurrent use.
+// Recorder counts the requests of one box. It is safe for concurrent use.
 type Recorder struct {
 	mu       sync.Mutex
 	snapshot Snapshot
@@ -83,7 +83,7 @@
 
 type lineKey struct{ customer, model string }
 
-// NewRecorder returns a recorder of one incarnation of a box.
+// NewRecorder returns an empty recorder for one incarnation of a box.
 func NewRecorder(box, incarnation string) *Recorder {
 	return &Recorder{
 		snapshot: Snapshot{Box: box, Incarnation: incarnation, Since: time.Now().UTC()},
@@ -91,7 +91,7 @@
 	}
 }
 
-// Count counts one request; reason counts for refusals only.
+// Count counts one request that ends now; reason is used only for refused requests.
 func (r *Recorder) Count(customer, model string, objective float64, result Result, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	r.snapshot.Sequence++
 }
 
-// Snapshot copies what was counted so far.
+// Snapshot returns a copy of all counts so far.
 func (r *Recorder) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,15 +119,15 @@
 	return snapshot
 }
 
-// Count counts one request that ended at a time, not before those counted already; reason counts for
-// refusals only.
+// Count counts one request that ended at a time, which must not be earlier than that of requests counted
+// already. reason is used only for refused requests.
 func (l *Counts) Count(at time.Time, result Result, reason string) {
-	l.total(result, reason)
-	l.slot(at, result != WithinTarget)
+	l.addToTotals(result, reason)
+	l.addToSlot(at, result != WithinTarget)
 }
 
-// total adds one request to the totals.
-func (l *Counts) total(result Result, reason string) {
+// addToTotals adds one request to the total of its result.
+func (l *Counts) addToTotals(result Result, reason string) {
 	switch result {
 	case WithinTarget:
 		l.Within++
@@ -143,8 +143,8 @@
 	}
 }
 
-// slot adds one request to the slot of its time.
-func (l *Counts) slot(now time.Time, missed bool) {
+// addToSlot adds one request to the slot of its time, and drops the oldest slot if there are too many.
+func (l *Counts) addToSlot(now time.Time, missed bool) {
 	number := slotNumber(now)
 	if len(l.Slots) == 0 || l.Slots[len(l.Slots)-1].Number != number {
 		l.Slots = append(l.Slots, Slot{Number: number})
@@ -172,8 +172,8 @@
 	return c
 }
 
-// slotNumber is the number of the slot under way at a time.
-func slotNumber(at time.Time) int64 { return at.Unix() / int64(slotSpan.Seconds()) }
+// slotNumber returns the number of the slot that contains a time.
+func slotNumber(at time.Time) int64 { return at.Unix() / int64(slotDuration.Seconds()) }
 
 func sortLines(lines []Counts) {
 	sort.Slice(lines, func(i, j int) bool {
--- a/pkg/burn/example_test.go
+++ b/pkg/burn/example_test.go
@@ -16,7 +16,7 @@
 	second.Count("acme", "writer", 0.95, burn.Refused, "rate limit")
 	second.Count("acme", "writer", 0.95, burn.Failed, "")
 
-	// A kept snapshot of a box that is gone counts once, however often it is seen.
+	// A snapshot that was kept for a box that is gone counts once, however often it is given.
 	snapshots := []burn.Snapshot{first.Snapshot(), second.Snapshot(), first.Snapshot()}
 	for _, s := range burn.Report(snapshots, time.Now()) {
 		fmt.Printf("%s: %d requests, budget left %.0f%%, burn %.1f\n", s.Model, s.Requests, 100*s.BudgetLeft, s.BurnShort)
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -8,18 +8,19 @@
 // Keeper holds the latest snapshot of each incarnation of other boxes. It is safe for concurrent use.
 type Keeper struct {
 	mu sync.Mutex
-	// snapshots by incarnation, and the incarnations in the order in which they came.
-	snapshots map[string]Snapshot
-	order     []string
+	// snapshots holds the snapshots by incarnation, incarnations the keys in the order of arrival.
+	snapshots    map[string]Snapshot
+	incarnations []string
 }
 
-// maxIncarnations bounds the snapshots kept; the one that came first goes first: 64.
+// maxIncarnations bounds the number of snapshots kept: 64. Beyond it, the incarnation that arrived first
+// is dropped.
 const maxIncarnations = 64
 
 // NewKeeper returns an empty keeper.
 func NewKeeper() *Keeper { return &Keeper{snapshots: map[string]Snapshot{}} }
 
-// Keep takes a snapshot in if it is the latest of its incarnation.
+// Keep stores a snapshot if it is the latest of its incarnation.
 func (k *Keeper) Keep(snapshot Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -28,42 +29,43 @@
 		return
 	}
 	if !ok {
-		k.order = append(k.order, snapshot.Incarnation)
+		k.incarnations = append(k.incarnations, snapshot.Incarnation)
 	}
 	k.snapshots[snapshot.Incarnation] = snapshot
-	if len(k.order) > maxIncarnations {
-		delete(k.snapshots, k.order[0])
-		k.order = k.order[1:]
+	if len(k.incarnations) > maxIncarnations {
+		delete(k.snapshots, k.incarnations[0])
+		k.incarnations = k.incarnations[1:]
 	}
 }
 
-// Snapshots returns all that is kept.
+// Snapshots returns all stored snapshots, in the order in which their incarnations arrived.
 func (k *Keeper) Snapshots() []Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var all []Snapshot
-	for _, incarnation := range k.order {
+	for _, incarnation := range k.incarnations {
 		all = append(all, k.snapshots[incarnation])
 	}
 	return all
 }
 
-// Status is the sum of all boxes' lines of one model or service, with the rates.
+// Status holds the counts of one model or service summed over all boxes, with the error budget and the
+// burn rates.
 type Status struct {
 	Counts
 	// Requests is the number of all requests, refused ones included.
 	Requests uint64
-	// BudgetLeft is the share of the error budget left; below 0 it is overspent.
+	// BudgetLeft is the share of the error budget that is left; below 0, the budget is overspent.
 	BudgetLeft float64
-	// BurnShort and BurnLong are the rates at which the budget is spent over the
-	// short and the long window; 1 spends just the budget.
+	// BurnShort and BurnLong are the rates at which the budget is spent over the short and the long
+	// window; at 1, exactly the budget is spent.
 	BurnShort float64
 	BurnLong  float64
 }
 
-// Report adds up the latest snapshot of each incarnation, by customer and model. Every request that
-// was not served within target spends the error budget, refused ones too. If boxes go by different
-// objectives while a bundle rolls, the higher one counts.
+// Report sums the latest snapshot of each incarnation, by customer and model. Every request that was
+// not served within target spends the error budget, refused ones too. If boxes use different
+// objectives while a bundle is being rolled, the highest is used.
 func Report(snapshots []Snapshot, now time.Time) []Status {
 	latest := map[string]Snapshot{}
 	for _, s := range snapshots {
@@ -93,7 +95,7 @@
 	return statuses
 }
 
-// add adds another box's line of the same model.
+// add adds another box's counts of the same model.
 func (l *Counts) add(other Counts) {
 	l.Objective = max(l.Objective, other.Objective)
 	l.Within += other.Within
@@ -105,26 +107,26 @@
 	l.Slots = append(l.Slots, other.Slots...)
 }
 
-// status is the error budget and the burn rates of a sum.
+// status returns summed counts with their error budget and burn rates.
 func (l Counts) status(now time.Time) Status {
 	s := Status{Counts: l, Requests: l.Within + l.Late + l.Failed}
 	for _, n := range l.Refused {
 		s.Requests += n
 	}
-	allowed := 1 - l.Objective
+	budget := 1 - l.Objective
 	s.BudgetLeft = 1
-	if s.Requests > 0 && allowed > 0 {
+	if s.Requests > 0 && budget > 0 {
 		missed := float64(s.Requests-l.Within) / float64(s.Requests)
-		s.BudgetLeft = 1 - missed/allowed
+		s.BudgetLeft = 1 - missed/budget
 	}
-	s.BurnShort = l.rate(now, shortSlots, allowed)
-	s.BurnLong = l.rate(now, longSlots, allowed)
+	s.BurnShort = l.burnRate(now, shortSlots, budget)
+	s.BurnLong = l.burnRate(now, longSlots, budget)
 	return s
 }
 
-// rate is the share of missed requests over the latest slots, as a multiple of the share allowed;
-// 0 without requests.
-func (l Counts) rate(now time.Time, slots int64, allowed float64) float64 {
+// burnRate returns the share of requests that missed the target in the latest slots, as a multiple of
+// budget, the share that may miss it. It is 0 without requests, or if budget is 0 or less.
+func (l Counts) burnRate(now time.Time, slots int64, budget float64) float64 {
 	first := slotNumber(now) - slots + 1
 	var total, missed uint64
 	for _, slot := range l.Slots {
@@ -133,8 +135,8 @@
 			missed += slot.Missed
 		}
 	}
-	if total == 0 || allowed <= 0 {
+	if total == 0 || budget <= 0 {
 		return 0
 	}
-	return float64(missed) / float64(total) / allowed
+	return float64(missed) / float64(total) / budget
 }
