--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -129,7 +129,7 @@
 	term, err := l.lease.Term()
 	if err != nil {
 		// The lease ran out. If no box reaches the store, none can have taken it.
-		term = l.lease.Tenure().Term
+		term = l.lease.Status().Term
 		if term == 0 || !l.Peers.StoreLostByAll() {
 			return 0, errors.WithType(err, residency.ErrNotHolder)
 		}
@@ -182,7 +182,7 @@
 // box holds, is contended for soon.
 func (l *Lease) Observe(state mirror.State) {
 	record, held := state.Records.Get(l.key)
-	ours := held && string(record.Value) == l.Name && l.lease.Tenure().Term == 0
+	ours := held && string(record.Value) == l.Name && l.lease.Status().Term == 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -151,10 +151,10 @@
 			time.Sleep(5 * time.Second)
 			c.cutOff.Store(true)
 			time.Sleep(resignAfter + resignCheck)
-			Expect(c.lease.Tenure().Term).NotTo(BeZero())
+			Expect(c.lease.Status().Term).NotTo(BeZero())
 			c.otherReaches.Store(true)
 			time.Sleep(2 * resignCheck)
-			Expect(c.lease.Tenure().Term).To(BeZero())
+			Expect(c.lease.Status().Term).To(BeZero())
 		})
 	})
 
--- a/internal/orderlease/resign.go
+++ b/internal/orderlease/resign.go
@@ -25,8 +25,8 @@
 // ctx ends.
 func (l *Lease) ResignWhenCutOff(ctx context.Context) {
 	for pause.For(ctx, resignCheck) == nil {
-		claim := l.lease.Tenure()
-		if claim.Term == 0 || time.Since(claim.Renewed) < resignAfter {
+		claim := l.lease.Status()
+		if claim.Term == 0 || time.Since(claim.LastRenewal) < resignAfter {
 			continue
 		}
 		address, ok := l.Peers.ReachesStore()
@@ -34,7 +34,7 @@
 			continue
 		}
 		id := l.lease.Resign()
-		l.Log.Warn("order lease resigned", zap.Int64("term", claim.Term), zap.Duration("unrenewed", time.Since(claim.Renewed)), zap.String("peer", address))
+		l.Log.Warn("order lease resigned", zap.Int64("term", claim.Term), zap.Duration("unrenewed", time.Since(claim.LastRenewal)), zap.String("peer", address))
 		l.revokeBy(ctx, address, id)
 	}
 }
--- a/pkg/lease/contest.go
+++ b/pkg/lease/contest.go
@@ -10,17 +10,17 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// This file has the contest. Errors of the store are not logged here: each is followed by another try
-// or by the lease's end, and the store's users note by themselves whether it answers (kv.Observed on
-// `serve`, pkg/mirror on `node`).
+// This file acquires, renews and releases the lease. It does not log errors of the store: after each one the call
+// is retried or the lease ends, and the users of the store track its availability themselves (kv.Observed in
+// `ospreymoor serve`, pkg/mirror in `ospreymoor node`).
 
-// Run contends for the lease and renews it until ctx ends; then it gives the lease back.
+// Run contends for the lease and renews it until ctx ends. Then it releases the lease.
 func (l *Lease) Run(ctx context.Context) {
 	defer l.release()
 	for {
 		l.step(ctx)
 		pause := l.config.TTL / renewalsPerTTL
-		pause += rand.N(pause / jitterFraction)
+		pause += rand.N(pause / jitterDivisor)
 		select {
 		case <-ctx.Done():
 			return
@@ -30,7 +30,7 @@
 	}
 }
 
-// step renews a lease that is held, or contends for one that is not.
+// step renews the lease if it is held, and tries to acquire it otherwise.
 func (l *Lease) step(ctx context.Context) {
 	if id := l.heldID(); id != 0 {
 		l.renew(ctx, id)
@@ -47,37 +47,38 @@
 	return l.id
 }
 
-// renew renews a lease, and gives it back if it is lost, if this process is no candidate any more, or
-// if renewals have failed for too long.
+// renew renews the lease. It releases the lease if the store reports its loss, if this process is no candidate any
+// more, or if renewals have failed for too long.
 func (l *Lease) renew(ctx context.Context, id kv.LeaseID) {
 	before := time.Now()
 	err := l.config.Store.Renew(ctx, id)
 	switch {
 	case err == nil && l.config.Candidate():
 		l.extend(id, before)
-	case err == nil, errors.Is(err, kv.ErrLeaseLost), l.renewalsFailedForLong():
+	case err == nil, errors.Is(err, kv.ErrLeaseLost), l.renewalOverdue():
 		l.release()
 	}
 }
 
-// extend counts the time to act from before the renewal was sent.
+// extend sets the time to act, counted from just before the renewal was sent.
 func (l *Lease) extend(id kv.LeaseID, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id != id {
-		return // Given up meanwhile.
+		return // The lease was given up while the renewal was in flight.
 	}
-	l.until = sent.Add(l.config.TTL - l.config.Margin)
+	l.actUntil = sent.Add(l.config.TTL - l.config.Margin)
 }
 
-// renewalsFailedForLong reports whether this process had to stop acting retriesAfterTTL TTLs ago.
-func (l *Lease) renewalsFailedForLong() bool {
+// renewalOverdue reports whether this process had to stop acting more than overdueRenewalTTLs TTLs ago.
+func (l *Lease) renewalOverdue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(l.until) > retriesAfterTTL*l.config.TTL
+	return time.Since(l.actUntil) > overdueRenewalTTLs*l.config.TTL
 }
 
-// acquire creates the lease's key if nobody has it; the creation's revision is the term.
+// acquire creates the lease's key if no process holds it. With Config.Reclaim it also replaces a key that still has
+// this process's name. The revision of the write is the term.
 func (l *Lease) acquire(ctx context.Context) {
 	store := l.config.Store
 	current, err := store.Get(ctx, l.config.Key)
@@ -97,29 +98,29 @@
 	swap := kv.Swap{Key: l.config.Key, Revision: current.Revision, Value: []byte(l.config.Holder), Lease: id}
 	record, err := store.Swap(ctx, swap)
 	if err != nil {
-		// Another process was first, or the answer got lost: the key then dies with the lease that is
-		// revoked. If that fails too, both end with the TTL.
+		// Another process was first, or the answer was lost. In the second case the key may exist: revoking
+		// the lease deletes it. If the revocation fails too, both expire with the TTL.
 		_ = store.Revoke(ctx, id)
 		return
 	}
 	l.mu.Lock()
-	l.id, l.term, l.latest = id, record.Revision, record.Revision
-	l.until = before.Add(l.config.TTL - l.config.Margin)
+	l.id, l.term, l.highestTerm = id, record.Revision, record.Revision
+	l.actUntil = before.Add(l.config.TTL - l.config.Margin)
 	l.mu.Unlock()
 	l.config.Changed(record.Revision)
 }
 
-// release gives the lease back, so that another process can gain it at once. If the service can't be
-// reached, the lease ends with its TTL.
+// release revokes the lease, so that another process can gain it at once. If the store is unreachable, the lease
+// expires with its TTL.
 func (l *Lease) release() {
-	id, had := l.forget()
+	id, wasHeld := l.clearHeld()
 	if id == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), l.config.TTL/renewalsPerTTL)
 	defer cancel()
 	_ = l.config.Store.Revoke(ctx, id)
-	if had {
+	if wasHeld {
 		l.config.Changed(0)
 	}
 }
--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -10,19 +10,19 @@
 )
 
 func Example() {
-	held := make(chan int64, 1)
+	terms := make(chan int64, 1)
 	l := lease.New(lease.Config{
 		Store:   kv.NewMemory().Store(),
 		Key:     "leases/planner",
 		Holder:  "box-1",
 		TTL:     6 * time.Second,
-		Changed: func(term int64) { held <- term },
+		Changed: func(term int64) { terms <- term },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 
-	<-held
+	<-terms
 	_, err := l.Term()
 	fmt.Println("may act:", err == nil)
 	cancel()
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,13 +1,14 @@
-// Package lease gives one process at a time the right to act, with a term that only grows.
+// Package lease lets one process at a time act as the holder of a lease in the key-value store. Each time the lease
+// is gained, it has a higher term.
 //
-// The holder goes by its own clock: it stops acting a margin before the service could give the lease
-// away, counted from before the last renewal was sent. A process that was frozen can still act for a
-// moment after that, so whoever takes its orders should also refuse lower terms.
+// The holder relies on its own clock. It stops acting a margin before the store can give the lease to another
+// process, counted from just before it sent the last successful renewal. A process that was frozen can still act for
+// a moment after that, so receivers of its orders should also reject lower terms.
 //
-// Both ways use it, over pkg/kv. `ospreymoor serve` holds one lease a hall and one for the planner:
-// Candidate chooses two boxes that contend, and LatestTerm serves repairs while the store is away.
-// `ospreymoor node` holds the order lease: MayBeFree and Wake save calls to the store, Reclaim
-// shortens restarts, and Claim, Resign and Abandon serve the handover.
+// Both modes use the package, over pkg/kv. `ospreymoor serve` holds one lease per hall and one for the planner:
+// Candidate limits the contenders to two boxes, and LatestTerm allows repairs while the store is unreachable.
+// `ospreymoor node` holds the order lease: MayBeFree and Wake save calls to the store, Reclaim shortens restarts, and
+// Status, Resign and Abandon serve the handover.
 package lease
 
 import (
@@ -19,66 +20,65 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// ErrNotHeld means that this process has no right to act at the moment.
+// ErrNotHeld reports that this process may not act at the moment.
 const ErrNotHeld = errors.ConstError("lease not held: send the work to the box that holds it")
 
 const (
-	// defaultTTL is the TTL where the config gives none; both ways give one.
+	// defaultTTL is used if Config.TTL is 0. Both modes set Config.TTL.
 	defaultTTL = 6 * time.Second
-	// renewalsPerTTL is how many times in a TTL the lease is looked after, jitter apart. The call that
-	// revokes the lease may take the same part of the TTL.
+	// renewalsPerTTL is how many times per TTL the lease is renewed or contended for, not counting the jitter. The
+	// timeout of the call that revokes the lease is the same fraction of the TTL.
 	renewalsPerTTL = 3
-	// marginsPerTTL is the TTL by the margin where the config gives none.
-	marginsPerTTL = 3
-	// jitterFraction is the pause between two looks by the most that chance adds to it, so that
-	// contenders do not ask at the same time.
-	jitterFraction = 4
-	// retriesAfterTTL is for how many TTLs after it had to stop acting a holder goes on renewing: a
-	// service that was away may give the lease its full time again.
-	retriesAfterTTL = 2
+	// marginDivisor gives the margin as TTL / marginDivisor if Config.Margin is 0.
+	marginDivisor = 3
+	// jitterDivisor limits the jitter: at most the pause between two steps of Run divided by it is added to the
+	// pause. The jitter keeps contenders from calling the store at the same time.
+	jitterDivisor = 4
+	// overdueRenewalTTLs is for how many TTLs a holder goes on renewing after it had to stop acting: a store that
+	// was unavailable may give the lease its full TTL again.
+	overdueRenewalTTLs = 2
 )
 
-// Config defines which lease to hold and how.
+// Config defines which lease to contend for and how.
 type Config struct {
 	Store kv.Store
-	// Key is the lease's place in the store, such as leases/planner.
+	// Key is the lease's key in the store, such as leases/planner.
 	Key string
-	// Holder is this process's name, for operators to read and for Reclaim.
+	// Holder is this process's name. It is the value of the key, for operators to read and for Reclaim.
 	Holder string
-	// TTL is how long the service keeps the lease without a renewal; 0 takes 6 s.
+	// TTL is how long the store keeps the lease without a renewal; 0 means 6 s.
 	TTL time.Duration
-	// Margin is how long before the TTL's end the holder stops acting; 0 takes a third of TTL.
+	// Margin is how long before the end of the TTL the holder stops acting; 0 means a third of TTL.
 	Margin time.Duration
-	// Candidate reports whether this process should hold the lease. One that should not does not
-	// contend, and gives the lease back at its next renewal. nil means always.
+	// Candidate reports whether this process should hold the lease. A process that should not does not contend, and
+	// releases a lease that it holds at the next renewal. nil means always.
 	Candidate func() bool
-	// MayBeFree reports whether a contender should ask the store for the lease: a copy of the store
-	// may show that another process holds it. nil means always.
+	// MayBeFree reports whether a contender should ask the store for the lease. It returns false, for example, if a
+	// copy of the store shows that another process holds the lease. nil means always.
 	MayBeFree func() bool
-	// Reclaim lets a restarted process take over the lease that its own name still holds, under a
-	// higher term, without waiting for its end. Set it only where two processes never run under one
-	// name at once.
+	// Reclaim lets a restarted process take over the lease that its own name still holds, under a higher term,
+	// without waiting for it to expire. Set it only if two processes never run under one name at once.
 	Reclaim bool
-	// Wake has the lease looked after at once, as when the holder's key went; nil leaves it to the
-	// regular times.
+	// Wake makes Run renew or contend at once, for example when the holder's key has been deleted. With nil, Run
+	// does so only at its regular interval.
 	Wake <-chan struct{}
-	// Changed is called on each gain (term above 0) and loss (term 0), but not when the time of a
-	// lease that is not given up runs out; it must not block.
+	// Changed is called with the term (above 0) when the lease is gained, and with 0 when it is lost or given up. It
+	// is not called when the time to act runs out before the lease is given up. It must not block.
 	Changed func(term int64)
 }
 
-// Lease is one process's part in the contest for a lease.
+// Lease contends for a lease in the store and holds it for one process.
 type Lease struct {
 	config Config
 
 	mu sync.Mutex
-	// term and id are 0 unless the lease was gained and not given up.
+	// term and id are those of the lease since it was gained; 0 once it is lost or given up.
 	term int64
 	id   kv.LeaseID
-	// until is when this process must stop acting.
-	until time.Time
-	// latest is the highest term ever held.
-	latest int64
+	// actUntil is when this process must stop acting.
+	actUntil time.Time
+	// highestTerm is the highest term that this process ever held.
+	highestTerm int64
 }
 
 // New returns a lease that is not held yet; Run contends for it.
@@ -87,7 +87,7 @@
 		config.TTL = defaultTTL
 	}
 	if config.Margin == 0 {
-		config.Margin = config.TTL / marginsPerTTL
+		config.Margin = config.TTL / marginDivisor
 	}
 	if config.Candidate == nil {
 		config.Candidate = func() bool { return true }
@@ -101,72 +101,71 @@
 	return &Lease{config: config}
 }
 
-// Term returns the term under which this process may act now, or ErrNotHeld. It makes no call.
+// Term returns the term under which this process may act now, or ErrNotHeld. It does not call the store.
 func (l *Lease) Term() (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.term == 0 || !time.Now().Before(l.until) {
+	if l.term == 0 || !time.Now().Before(l.actUntil) {
 		return 0, errors.Annotatef(ErrNotHeld, "lease %s", l.config.Key)
 	}
 	return l.term, nil
 }
 
-// LatestTerm returns the highest term that this process ever held, 0 if none. Only work that the
-// other side checks against the term may be done under it, such as orders to fenced engines while
-// the store is away.
+// LatestTerm returns the highest term that this process ever held, or 0 if there is none. Use it only for work whose
+// receiver checks the term, such as orders to fenced engines while the store is unreachable.
 func (l *Lease) LatestTerm() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.latest
+	return l.highestTerm
 }
 
-// Tenure is a lease that was gained and not given up, though its time may have run out.
-type Tenure struct {
-	// Term of the lease; 0 if it is not held.
+// Status describes a lease that was gained and not given up. The time to act may have run out.
+type Status struct {
+	// Term is the lease's term; 0 if the lease is not held.
 	Term int64
-	// Renewed is when the last successful renewal was sent; without meaning at Term 0.
-	Renewed time.Time
+	// LastRenewal is when the last successful renewal was sent. It has no meaning if Term is 0.
+	LastRenewal time.Time
 }
 
-// Tenure returns what is held, also when its time is over and the store has not confirmed that it is
-// lost. A holder may act under it only if no other process can have gained the lease, as while no box
-// reaches the store; and it shows for how long renewals fail.
-func (l *Lease) Tenure() Tenure {
+// Status returns the lease that is held, even if the time to act is over but the store has not confirmed the loss. A
+// holder may act under its term only if no other process can have gained the lease, as while no box reaches the
+// store. LastRenewal shows for how long renewals have been failing.
+func (l *Lease) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Tenure{Term: l.term, Renewed: l.until.Add(l.config.Margin - l.config.TTL)}
+	return Status{Term: l.term, LastRenewal: l.actUntil.Add(l.config.Margin - l.config.TTL)}
 }
 
-// Abandon stops acting under terms below the given one. A holder calls it when another process
-// shows that it holds the lease under that term, so that there is nothing to revoke.
+// Abandon gives up the lease if it is held under a term below the given one. A holder calls it when another process
+// shows that it holds the lease under the given term, so nothing is left to revoke.
 func (l *Lease) Abandon(term int64) {
 	l.mu.Lock()
-	had := l.term != 0 && l.term < term
-	if had {
+	outdated := l.term != 0 && l.term < term
+	if outdated {
 		l.id, l.term = 0, 0
 	}
 	l.mu.Unlock()
-	if had {
+	if outdated {
 		l.config.Changed(0)
 	}
 }
 
-// Resign stops acting at once and returns the service's lease, 0 if nothing was held. A holder that
-// can't reach the store calls it, and has a process that does reach it revoke the lease, so that
-// another can gain it before its time runs out.
+// Resign gives up the lease at once and returns its ID in the store, or 0 if nothing was held. A holder that can't
+// reach the store calls it, and asks a process that does reach it to revoke the lease. Another process can then gain
+// the lease before its TTL ends.
 func (l *Lease) Resign() kv.LeaseID {
-	id, had := l.forget()
-	if had {
+	id, wasHeld := l.clearHeld()
+	if wasHeld {
 		l.config.Changed(0)
 	}
 	return id
 }
 
-// forget stops acting, and returns what was held.
-func (l *Lease) forget() (id kv.LeaseID, had bool) {
+// clearHeld gives up the lease in this process and returns what was held. It does not call the store.
+func (l *Lease) clearHeld() (id kv.LeaseID, wasHeld bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id, had = l.id, l.term != 0
+	id, wasHeld = l.id, l.term != 0
 	l.id, l.term = 0, 0
-	return id, had
+	return id, wasHeld
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,10 +19,10 @@
 
 func TestLease(t *testing.T) { spectest.Run(t, "Lease") }
 
-// contest has three processes contend for a lease while calls fail, get lost and are late, and one
-// process after the other is cut off from the store for a while. It returns where two held
-// the lease at once or a term went back, and how many terms there were.
-func contest(seed uint64, margin time.Duration) (found []string, terms int) {
+// contend has three processes contend for a lease for ten minutes, while calls are lost, lose their answers and are
+// delayed, and each process is cut off from the store for a while now and then. It returns each violation found (two
+// holders at once, or a term below an earlier one) and how many terms there were.
+func contend(seed uint64, margin time.Duration) (violations []string, terms int) {
 	spectest.Bubble(func() {
 		memory := kv.NewMemory().Store()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -30,18 +30,18 @@
 		var contenders []*lease.Lease
 		for c := range 3 {
 			l := lease.New(lease.Config{
-				Store: faulty(memory, seed, c), Key: "leases/x", Holder: fmt.Sprint(c), TTL: 6 * time.Second, Margin: margin,
+				Store: faultyStore(memory, seed, c), Key: "leases/x", Holder: fmt.Sprint(c), TTL: 6 * time.Second, Margin: margin,
 			})
 			contenders = append(contenders, l)
 			running.Go(func() { l.Run(ctx) })
 		}
 		var highest int64
-		for range 20 * 60 * 10 { // Ten minutes.
+		for range 20 * 60 * 10 { // Ten minutes in steps of 50 ms.
 			time.Sleep(50 * time.Millisecond)
 			held := termsHeld(contenders)
 			for _, term := range held {
 				if term < highest {
-					found = append(found, fmt.Sprintf("term %d after %d", term, highest))
+					violations = append(violations, fmt.Sprintf("term %d after %d", term, highest))
 				}
 				if term > highest {
 					highest = term
@@ -49,14 +49,14 @@
 				}
 			}
 			if len(held) > 1 {
-				found = append(found, fmt.Sprintf("%d holders at once", len(held)))
+				violations = append(violations, fmt.Sprintf("%d holders at once", len(held)))
 			}
 		}
 		cancel()
 		running.Wait()
 		time.Sleep(time.Minute)
 	})
-	return found, terms
+	return violations, terms
 }
 
 // termsHeld returns the terms under which contenders may act now.
@@ -70,8 +70,9 @@
 	return held
 }
 
-// faulty is one process's store: cut off for a while now and then, and unreliable in between.
-func faulty(memory kv.Store, seed uint64, contender int) kv.Store {
+// faultyStore returns one process's view of the store. It is unreachable for up to 15 s now and then; in between,
+// calls are delayed and some answers are lost.
+func faultyStore(memory kv.Store, seed uint64, contender int) kv.Store {
 	random := rand.New(rand.NewPCG(seed, uint64(contender)))
 	var mu sync.Mutex
 	var cutUntil time.Time
@@ -93,24 +94,24 @@
 }
 
 var _ = Describe("A lease", func() {
-	It("has one holder at a time, and terms that only grow, whatever happens to the store's answers", func() {
+	It("has one holder at a time and increasing terms, although calls of the store fail or lose their answers", func() {
 		total := 0
 		for seed := range uint64(6) {
-			found, terms := contest(seed, 0)
-			Expect(found).To(BeEmpty(), "seed %d", seed)
-			Expect(terms).To(BeNumerically(">", 1), "seed %d: the lease did change hands", seed)
+			violations, terms := contend(seed, 0)
+			Expect(violations).To(BeEmpty(), "seed %d", seed)
+			Expect(terms).To(BeNumerically(">", 1), "seed %d: the lease never changed its holder", seed)
 			total += terms
 		}
 		GinkgoWriter.Printf("%d terms\n", total)
 		Expect(total).To(BeNumerically(">", 18))
 	})
 
-	It("would have two if its holder trusted it beyond its time (guard off)", func() {
-		broken := 0
+	It("has two holders at once if a holder acts beyond the TTL (negative margin)", func() {
+		total := 0
 		for seed := range uint64(6) {
-			found, _ := contest(seed, -5*time.Second)
-			broken += len(found)
+			violations, _ := contend(seed, -5*time.Second)
+			total += len(violations)
 		}
-		Expect(broken).To(BeNumerically(">", 0))
+		Expect(total).To(BeNumerically(">", 0))
 	})
 })
