--- a/internal/orderlease/doc.go
+++ b/internal/orderlease/doc.go
@@ -1,11 +1,9 @@
-// Package orderlease decides when this box may give engines orders, in the way of
-// `ospreymoor node`.
+// Package orderlease decides when this box may give orders to engines, in the platform mode `ospreymoor node`.
 //
-// One box of the fleet at a time gives orders: the holder of the order lease in the store. The
-// package owns this box's part in the contest for it (Lease, around pkg/lease) and the handover
-// from the former holder to the new one; handover.go has when orders may begin. It relies on
-// internal/cluster for what other boxes report, by the functions in Peers.
+// One box of the fleet at a time gives orders: the holder of the order lease in the store. The package contends for
+// the lease (Lease, around pkg/lease) and hands over from the former holder to the new one; handover.go says when
+// orders may begin. It learns from internal/cluster what other boxes report, through the functions in Peers.
 //
-// Its look-alike of `ospreymoor serve` is the lease of a hall's controller in internal/box: there
-// each hall has a lease, and pkg/orders fences engines by terms instead of handing over.
+// The counterpart in `ospreymoor serve` is the lease of a hall's controller in internal/box. There each hall has a
+// lease, and pkg/orders fences engines by terms, so no handover is needed.
 package orderlease
--- a/internal/orderlease/handover_test.go
+++ b/internal/orderlease/handover_test.go
@@ -20,39 +20,39 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-const orderGap = 400 * time.Millisecond
+const testOrderGap = 400 * time.Millisecond
 
 func TestOrderLease(t *testing.T) { spectest.Run(t, "Order lease") }
 
-// takeover is a handover, the store it is on, and whether the former holder's address is known.
+// takeover is the handover to a new holder, with its store and whether the former holder's address is known.
 type takeover struct {
 	*handover
 	store kv.Store
 	known *atomic.Bool
 }
 
-// formerActsFor is how long the former holder may act after a renewal in these specs.
-const formerActsFor = 300 * time.Millisecond
+// formerMaxActing is how long the former holder may act after a renewal in these specs.
+const formerMaxActing = 300 * time.Millisecond
 
-// newTakeover returns the handover from a box that gave orders to the one after it, which calls the
-// former one by dial.
+// newTakeover returns the handover from the box "old", which gave orders last, to the box "new", which calls the
+// former holder by dial.
 func newTakeover(dial func(ctx context.Context, network, address string) (net.Conn, error)) *takeover {
 	next := &takeover{store: kv.NewMemory().Store(), known: &atomic.Bool{}}
 	next.known.Store(true)
 	next.record("old")
 	next.handover = newHandover(Config{
-		Name: "new", Store: next.store, OrderGap: orderGap, Log: zap.NewNop(),
+		Name: "new", Store: next.store, OrderGap: testOrderGap, Log: zap.NewNop(),
 		Peers: Peers{AddressOf: func(name string) (string, bool) {
 			return formerAddress, name == "old" && next.known.Load()
 		}},
 		Client: peer.NewClient("", dial, metrics.NewSet()),
-	}, formerActsFor)
+	}, formerMaxActing)
 	return next
 }
 
 const formerAddress = "127.0.0.1:1"
 
-// record puts a box into the store as the last that gave orders.
+// record writes a box into the store as the last that gave orders.
 func (t *takeover) record(name string) {
 	value, err := json.Marshal(holderRecord{Name: name})
 	Expect(err).NotTo(HaveOccurred())
@@ -66,16 +66,15 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// begunNow reports whether orders may be given under term 7, once all has been done that takes no
-// time.
-func (t *takeover) begunNow() bool {
+// mayOrderNow reports whether orders may be given under term 7, once every goroutine of the bubble is blocked.
+func (t *takeover) mayOrderNow() bool {
 	synctest.Wait()
-	return t.done(7)
+	return t.mayOrder(7)
 }
 
-// takeOver runs f on a takeover in a bubble, on a network in memory where calls take no time. The
-// former holder answers a yield call by answer; no process of it lives if that is nil.
-func takeOver(answer func(yieldRequest) yieldAnswer, f func(next *takeover)) {
+// inTakeover runs f on a takeover in a bubble, on a network in memory where calls take no time. The former holder
+// answers a yield call by answer; if answer is nil, no process of the former holder is running.
+func inTakeover(answer func(yieldRequest) yieldAnswer, f func(next *takeover)) {
 	spectest.Bubble(func() {
 		network := &spectest.Network{}
 		next := newTakeover(network.Dial)
@@ -89,46 +88,46 @@
 			go server.Serve(listener)
 		}
 		defer func() {
-			next.changed(0)
+			next.leaseChanged(0)
 			next.client.Close()
 			server.Close()
-			time.Sleep(10 * time.Second) // What was begun for a term ends with it.
+			time.Sleep(10 * time.Second) // Goroutines started for a term end meanwhile.
 		}()
 		f(next)
 	})
 }
 
 var _ = Describe("a new holder of the order lease", func() {
-	It("waits engine by engine once the former one has yielded", func() {
+	It("waits for each engine by its last order once the former holder has answered the yield call", func() {
 		var asked yieldRequest
 		answer := func(request yieldRequest) yieldAnswer {
 			asked = request
 			return yieldAnswer{Ages: map[string]time.Duration{"e1": 0, "e2": time.Hour}, Others: 2 * time.Hour}
 		}
-		takeOver(answer, func(next *takeover) {
-			begun := time.Now()
-			next.changed(7)
-			Expect(next.begunNow()).To(BeTrue())
+		inTakeover(answer, func(next *takeover) {
+			start := time.Now()
+			next.leaseChanged(7)
+			Expect(next.mayOrderNow()).To(BeTrue())
 			Expect(asked).To(Equal(yieldRequest{Term: 7, To: "new"}))
-			Expect(next.notBefore("e1")).To(Equal(begun.Add(orderGap)))
-			Expect(next.notBefore("e2")).To(Equal(begun.Add(orderGap - time.Hour)))
-			Expect(next.notBefore("e3")).To(Equal(begun.Add(orderGap - 2*time.Hour)))
+			Expect(next.notBefore("e1")).To(Equal(start.Add(testOrderGap)))
+			Expect(next.notBefore("e2")).To(Equal(start.Add(testOrderGap - time.Hour)))
+			Expect(next.notBefore("e3")).To(Equal(start.Add(testOrderGap - 2*time.Hour)))
 			record, err := next.store.Get(context.Background(), lastHolderKey)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(record.Value)).To(ContainSubstring("new"))
 		})
 	})
 
-	It("waits for the order gap when no process of the former one lives", func() {
-		takeOver(nil, func(next *takeover) {
-			begun := time.Now()
-			next.changed(7)
-			Expect(next.begunNow()).To(BeTrue())
-			Expect(next.notBefore("any")).To(Equal(begun.Add(orderGap)))
+	It("waits for the order gap when no process of the former holder is running", func() {
+		inTakeover(nil, func(next *takeover) {
+			start := time.Now()
+			next.leaseChanged(7)
+			Expect(next.mayOrderNow()).To(BeTrue())
+			Expect(next.notBefore("any")).To(Equal(start.Add(testOrderGap)))
 		})
 	})
 
-	It("knows by a connection that the operating system refuses that no process of the former one lives", func() {
+	It("takes a connection that the operating system refuses as proof that no process of the former holder is running", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -136,99 +135,99 @@
 		next := newTakeover(func(ctx context.Context, network, _ string) (net.Conn, error) {
 			return dialer.DialContext(ctx, network, listener.Addr().String())
 		})
-		next.actsFor = time.Hour // Nothing but the refusal ends the wait.
+		next.maxActing = time.Hour // Only the refused connection ends the wait.
 		var before, after time.Time
-		var found waits
+		var found waitEnds
 		Eventually(func() bool {
 			before = time.Now()
 			known := false
-			found, known = next.waitsAfter(context.Background(), 7, "old", before)
+			found, known = next.waitEndsAfter(context.Background(), 7, "old", before)
 			after = time.Now()
 			return known
 		}).WithTimeout(time.Minute).Should(BeTrue())
-		Expect(found.others).To(BeTemporally(">=", before.Add(orderGap)))
-		Expect(found.others).To(BeTemporally("<=", after.Add(orderGap)))
+		Expect(found.others).To(BeTemporally(">=", before.Add(testOrderGap)))
+		Expect(found.others).To(BeTemporally("<=", after.Add(testOrderGap)))
 		Expect(found.byEngine).To(BeEmpty())
 	})
 
-	It("waits out the former one's lease and the order gap when it can't be asked", func() {
-		takeOver(nil, func(next *takeover) {
+	It("waits for the end of the former holder's lease and the order gap when it can't be asked", func() {
+		inTakeover(nil, func(next *takeover) {
 			next.known.Store(false)
-			begun := time.Now()
-			next.changed(7)
-			time.Sleep(formerActsFor + orderGap)
-			Expect(next.begunNow()).To(BeFalse())
-			time.Sleep(tryPause)
-			Expect(next.begunNow()).To(BeTrue())
-			Expect(next.notBefore("any")).To(Equal(begun.Add(formerActsFor + orderGap)))
+			start := time.Now()
+			next.leaseChanged(7)
+			time.Sleep(formerMaxActing + testOrderGap)
+			Expect(next.mayOrderNow()).To(BeFalse())
+			time.Sleep(retryPause)
+			Expect(next.mayOrderNow()).To(BeTrue())
+			Expect(next.notBefore("any")).To(Equal(start.Add(formerMaxActing + testOrderGap)))
 		})
 	})
 
-	It("begins as soon as the former one can be asked after all", func() {
+	It("may give orders as soon as the former holder can be asked after all", func() {
 		answer := func(yieldRequest) yieldAnswer {
 			return yieldAnswer{Ages: map[string]time.Duration{}, Others: time.Hour}
 		}
-		takeOver(answer, func(next *takeover) {
-			next.actsFor = time.Hour
+		inTakeover(answer, func(next *takeover) {
+			next.maxActing = time.Hour
 			next.known.Store(false)
-			next.changed(7)
-			time.Sleep(10*tryPause + time.Millisecond)
-			Expect(next.begunNow()).To(BeFalse())
+			next.leaseChanged(7)
+			time.Sleep(10*retryPause + time.Millisecond)
+			Expect(next.mayOrderNow()).To(BeFalse())
 			next.known.Store(true)
-			time.Sleep(tryPause)
-			Expect(next.begunNow()).To(BeTrue())
+			time.Sleep(retryPause)
+			Expect(next.mayOrderNow()).To(BeTrue())
 			Expect(next.notBefore("any")).To(BeTemporally("<=", time.Now()))
 		})
 	})
 
-	It("begins at once when it was the last to give orders itself, also after a restart", func() {
-		takeOver(nil, func(next *takeover) {
-			next.changed(6)
-			time.Sleep(orderGap + time.Millisecond)
-			next.changed(0)
-			next.changed(7)
-			Expect(next.begunNow()).To(BeTrue())
+	It("may give orders at once when it was the last to give orders itself, also after a restart", func() {
+		inTakeover(nil, func(next *takeover) {
+			next.leaseChanged(6)
+			time.Sleep(testOrderGap + time.Millisecond)
+			next.leaseChanged(0)
+			next.leaseChanged(7)
+			Expect(next.mayOrderNow()).To(BeTrue())
 			Expect(next.notBefore("any")).To(BeTemporally("<=", time.Now()))
-			restarted := newHandover(Config{Name: "new", Store: next.store, OrderGap: orderGap, Log: zap.NewNop()}, formerActsFor)
-			restarted.changed(8)
+			restarted := newHandover(Config{Name: "new", Store: next.store, OrderGap: testOrderGap, Log: zap.NewNop()}, formerMaxActing)
+			restarted.leaseChanged(8)
 			synctest.Wait()
-			Expect(restarted.done(8)).To(BeTrue())
+			Expect(restarted.mayOrder(8)).To(BeTrue())
 			Expect(restarted.notBefore("any")).To(BeTemporally("<=", time.Now()))
-			restarted.changed(0)
+			restarted.leaseChanged(0)
 		})
 	})
 
-	It("passes on the waits that it is under itself", func() {
+	It("includes the waits that still apply to itself in its answer to a yield call", func() {
 		spectest.Bubble(func() {
-			next := newHandover(Config{Name: "new", OrderGap: orderGap, Log: zap.NewNop()}, 300*time.Millisecond)
+			next := newHandover(Config{Name: "new", OrderGap: testOrderGap, Log: zap.NewNop()}, 300*time.Millisecond)
 			next.started = time.Now().Add(-time.Hour)
-			next.waits.byEngine = map[string]time.Time{"e1": time.Now().Add(orderGap / 2)}
+			next.waitEnds.byEngine = map[string]time.Time{"e1": time.Now().Add(testOrderGap / 2)}
 			answer := next.lastOrders(map[string]time.Duration{"e2": time.Millisecond})
-			Expect(answer.Ages["e1"]).To(Equal(orderGap / 2))
+			Expect(answer.Ages["e1"]).To(Equal(testOrderGap / 2))
 			Expect(answer.Ages["e2"]).To(Equal(time.Millisecond))
-			Expect(answer.Others).To(BeNumerically(">", orderGap))
+			Expect(answer.Others).To(BeNumerically(">", testOrderGap))
 		})
 	})
 
-	It("waits in full when the record of the last order holder is unreadable, and logs that once", func() {
-		takeOver(nil, func(next *takeover) {
+	It("waits as for a box that can't be asked when the record of the last order holder is unreadable, and logs that once", func() {
+		inTakeover(nil, func(next *takeover) {
 			next.recordBytes([]byte("{"))
 			core, logged := observer.New(zap.WarnLevel)
 			next.log = zap.New(core)
-			begun := time.Now()
-			next.changed(7)
-			time.Sleep(formerActsFor + orderGap)
-			Expect(next.begunNow()).To(BeFalse())
-			time.Sleep(tryPause)
-			Expect(next.begunNow()).To(BeTrue())
-			Expect(next.notBefore("any")).To(Equal(begun.Add(formerActsFor + orderGap)))
+			start := time.Now()
+			next.leaseChanged(7)
+			time.Sleep(formerMaxActing + testOrderGap)
+			Expect(next.mayOrderNow()).To(BeFalse())
+			time.Sleep(retryPause)
+			Expect(next.mayOrderNow()).To(BeTrue())
+			Expect(next.notBefore("any")).To(Equal(start.Add(formerMaxActing + testOrderGap)))
 			Expect(logged.Len()).To(Equal(1))
 			Expect(logged.All()[0].Message).To(ContainSubstring("last order holder unreadable"))
 		})
 	})
 
-	It("keeps the waits when the answer to the record of its name is lost", func() {
-		takeOver(nil, func(next *takeover) {
+	It("keeps the waits when the answer to the write of its name is lost", func() {
+		inTakeover(nil, func(next *takeover) {
 			lost := false
 			next.handover.store.Swap = func(ctx context.Context, swap kv.Swap) (kv.Record, error) {
 				record, err := next.store.Swap(ctx, swap)
@@ -238,37 +237,37 @@
 				}
 				return record, err
 			}
-			begun := time.Now()
-			next.changed(7)
-			Expect(next.begunNow()).To(BeFalse())
+			start := time.Now()
+			next.leaseChanged(7)
+			Expect(next.mayOrderNow()).To(BeFalse())
 			Expect(lost).To(BeTrue())
-			time.Sleep(tryPause)
-			Expect(next.begunNow()).To(BeTrue())
-			Expect(next.notBefore("any")).To(Equal(begun.Add(orderGap)))
+			time.Sleep(retryPause)
+			Expect(next.mayOrderNow()).To(BeTrue())
+			Expect(next.notBefore("any")).To(Equal(start.Add(testOrderGap)))
 		})
 	})
 
-	It("keeps the waits when its process is killed after the record of its name and starts again", func() {
-		takeOver(nil, func(next *takeover) {
-			begun := time.Now()
-			next.changed(7)
-			Expect(next.begunNow()).To(BeTrue())
-			Expect(next.notBefore("any")).To(Equal(begun.Add(orderGap)))
-			time.Sleep(orderGap / 4)
-			restarted := newHandover(Config{Name: "new", Store: next.store, OrderGap: orderGap, Log: zap.NewNop()}, formerActsFor)
-			restarted.changed(8)
+	It("keeps the waits when its process is killed after the write of its name and restarts", func() {
+		inTakeover(nil, func(next *takeover) {
+			start := time.Now()
+			next.leaseChanged(7)
+			Expect(next.mayOrderNow()).To(BeTrue())
+			Expect(next.notBefore("any")).To(Equal(start.Add(testOrderGap)))
+			time.Sleep(testOrderGap / 4)
+			restarted := newHandover(Config{Name: "new", Store: next.store, OrderGap: testOrderGap, Log: zap.NewNop()}, formerMaxActing)
+			restarted.leaseChanged(8)
 			synctest.Wait()
-			Expect(restarted.notBefore("any")).To(BeTemporally(">=", begun.Add(orderGap)))
-			restarted.changed(0)
+			Expect(restarted.notBefore("any")).To(BeTemporally(">=", start.Add(testOrderGap)))
+			restarted.leaseChanged(0)
 		})
 	})
 
-	It("forgets a term that was lost meanwhile", func() {
-		takeOver(nil, func(next *takeover) {
-			next.changed(7)
-			next.changed(0)
+	It("never allows orders under a term that was lost during the handover", func() {
+		inTakeover(nil, func(next *takeover) {
+			next.leaseChanged(7)
+			next.leaseChanged(0)
 			for range 100 {
-				Expect(next.begunNow()).To(BeFalse())
+				Expect(next.mayOrderNow()).To(BeFalse())
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
--- a/internal/orderlease/holder_record.go
+++ b/internal/orderlease/holder_record.go
@@ -12,8 +12,8 @@
 	"ospreymoor.example/ospreymoor/pkg/logfield"
 )
 
-// write replaces the record of the box that last gave orders, if it still has the revision.
-func (h *handover) write(ctx context.Context, revision int64, record holderRecord) error {
+// writeHolder replaces the record of the box that last gave orders if its revision is still the given one.
+func (h *handover) writeHolder(ctx context.Context, revision int64, record holderRecord) error {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return errors.Trace(err)
@@ -22,30 +22,30 @@
 	return errors.Trace(err)
 }
 
-// settle notes in the store that the waits of a term are over, so that another process of this box need
-// not wait again.
-func (h *handover) settle(term int64) {
-	time.Sleep(time.Until(h.lastWait()))
-	if !h.current(term) {
+// recordSettled waits until the waits of a term are over and records that in the store, so that another process of
+// this box need not wait again.
+func (h *handover) recordSettled(term int64) {
+	time.Sleep(time.Until(h.lastWaitEnd()))
+	if !h.holds(term) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
 	defer cancel()
 	record, err := h.store.Get(ctx, h.key)
-	if err == nil && h.decode(record) == (holderRecord{Name: h.name}) {
-		err = h.write(ctx, record.Revision, holderRecord{Name: h.name, Settled: true})
+	if err == nil && h.decodeHolder(record) == (holderRecord{Name: h.name}) {
+		err = h.writeHolder(ctx, record.Revision, holderRecord{Name: h.name, Settled: true})
 	}
 	if err != nil {
-		h.log.Info("waits not noted as over: another process of this box waits again", zap.Int64("term", term), logfield.Error(err))
+		h.log.Info("end of the waits not recorded: another process of this box waits again", zap.Int64("term", term), logfield.Error(err))
 	}
 }
 
-// lastWait is when the last engine may be given orders.
-func (h *handover) lastWait() time.Time {
+// lastWaitEnd returns the time from which all engines may be given orders.
+func (h *handover) lastWaitEnd() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last := h.waits.others
-	for _, at := range h.waits.byEngine {
+	last := h.waitEnds.others
+	for _, at := range h.waitEnds.byEngine {
 		if at.After(last) {
 			last = at
 		}
@@ -53,19 +53,19 @@
 	return last
 }
 
-// decode returns the record of the box that last gave orders. An unreadable record counts as a box
-// that can't be asked, which waits in full; that is logged once a revision.
-func (h *handover) decode(record kv.Record) holderRecord {
+// decodeHolder returns the record of the box that last gave orders. An unreadable record is treated as a box that
+// can't be asked, so the full wait applies; it is logged once per revision.
+func (h *handover) decodeHolder(record kv.Record) holderRecord {
 	var last holderRecord
 	err := json.Unmarshal(record.Value, &last)
 	h.mu.Lock()
-	first := err != nil && h.unreadable != record.Revision
+	first := err != nil && h.unreadableRevision != record.Revision
 	if first {
-		h.unreadable = record.Revision
+		h.unreadableRevision = record.Revision
 	}
 	h.mu.Unlock()
 	if first {
-		h.log.Warn("record of the last order holder unreadable: its orders are waited for in full",
+		h.log.Warn("record of the last order holder unreadable: waiting as for a box that can't be asked",
 			zap.String("key", record.Key), zap.Int64("revision", record.Revision), logfield.Error(err))
 	}
 	return last
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -16,31 +16,31 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// Keys below the own prefix of the store.
+// Keys in the store below Config.OwnPrefix.
 const (
 	leaseKey      = "leases/orders"
 	lastHolderKey = "leases/last-order-holder"
 )
 
 const (
-	// marginsPerTTL is the order lease's TTL by the margin before its end at which the holder
-	// stops acting.
-	marginsPerTTL = 4
-	// wakeSpread spreads the boxes that see the order lease free, so that one takes it.
-	wakeSpread = 250 * time.Millisecond
-	// followerDelay is by how much longer boxes of a large fleet wait that follow a relay: relays
-	// know already what is asked for, and have the most processor time. A relay takes the order lease
-	// within wakeSpread, and its hall learns of it by the next exchange.
+	// marginDivisor gives the margin before the end of the order lease's TTL at which the holder stops acting:
+	// TTL / marginDivisor.
+	marginDivisor = 4
+	// contendJitter is the longest random time that a box waits once it sees the order lease free. Boxes wait for
+	// different times, so that one of them takes the lease before the others try.
+	contendJitter = 250 * time.Millisecond
+	// followerDelay is the least time that boxes of a large fleet wait if they follow a relay. Relays go first: they
+	// already know the demand and have the most processor time. A relay takes the order lease within contendJitter,
+	// and its hall learns of that with the next exchange.
 	followerDelay = 400 * time.Millisecond
-	// followerSpread spreads those boxes: of 300 one comes each 3 ms, and taking the order lease
-	// takes three calls.
-	followerSpread = time.Second
-	// orderGapMargin is added to the bound on how far apart orders of two boxes to one engine must
-	// be.
+	// followerJitter is the longest random time that those boxes wait in addition. Of 300 boxes one contends every
+	// 3 ms, and acquiring the order lease takes three calls.
+	followerJitter = time.Second
+	// orderGapMargin is added to the platform's minimum time between orders of two boxes to one engine.
 	orderGapMargin = 500 * time.Millisecond
 )
 
-// Config is what an order lease works with.
+// Config holds the settings and dependencies of an order lease.
 type Config struct {
 	// Name of this box.
 	Name  string
@@ -49,8 +49,7 @@
 	OwnPrefix string
 	// TTL is how long the order lease lasts without a renewal.
 	TTL time.Duration
-	// OrderGap is the bound of the platform on how far apart orders of two boxes to one engine must
-	// be. New adds orderGapMargin.
+	// OrderGap is the platform's minimum time between orders of two boxes to one engine. New adds orderGapMargin.
 	OrderGap time.Duration
 	Peers    Peers
 	Client   *peer.Client
@@ -61,7 +60,7 @@
 	Log     *zap.Logger
 }
 
-// Peers is what the order lease asks of the other boxes.
+// Peers holds the functions by which the order lease learns about the other boxes.
 type Peers struct {
 	// AddressOf returns the peer address of a box, if it is known.
 	AddressOf func(name string) (address string, ok bool)
@@ -71,28 +70,29 @@
 	StoreLostByAll func() bool
 	// Listed reports whether the store has listed this box since it started, as far as is known.
 	Listed func() bool
-	// FollowsRelay reports whether this box learns of a large fleet from a relay.
+	// FollowsRelay reports whether this box gets the updates of a large fleet from a relay.
 	FollowsRelay func() bool
 }
 
-// Lease is this box's part in the contest for the order lease.
+// Lease contends for the order lease on behalf of this box and holds it.
 type Lease struct {
 	Config
 
 	key      string
 	lease    *lease.Lease
 	handover *handover
-	// wake has the lease looked after at once.
+	// wake makes the lease be renewed or contended for at once.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// turn is when this box may contend for a lease that Observe found free; zero before that.
-	turn time.Time
+	// contendFrom is the time from which this box may contend for a lease that Observe found free; zero before
+	// Observe finds it free.
+	contendFrom time.Time
 }
 
 // New returns an order lease that is not held yet; Run contends for it.
 func New(config Config) *Lease {
-	margin := config.TTL / marginsPerTTL
+	margin := config.TTL / marginDivisor
 	config.OrderGap += orderGapMargin
 	l := &Lease{
 		Config:   config,
@@ -107,43 +107,44 @@
 		TTL:       config.TTL,
 		Margin:    margin,
 		Reclaim:   true,
-		MayBeFree: func() bool { return l.mayBeFree() && l.turnCame() },
+		MayBeFree: func() bool { return l.mayBeFree() && l.mayContend() },
 		Wake:      l.wake,
-		Changed:   l.handover.changed,
+		Changed:   l.handover.leaseChanged,
 	})
 	return l
 }
 
-// Run contends for the lease and renews it until ctx ends; then it hands the lease back.
+// Run contends for the lease and renews it until ctx ends. Then it releases the lease.
 func (l *Lease) Run(ctx context.Context) { l.lease.Run(ctx) }
 
-// Held reports whether this box holds the lease by its own clock. Orders may begin later; see Term.
+// Held reports whether this box holds the lease by its own clock. Orders may begin later than that; see Term.
 func (l *Lease) Held() bool {
 	_, err := l.lease.Term()
 	return err == nil
 }
 
-// Term returns the term under which this box may give orders at this moment. The error is
-// residency.ErrNotHolder, or residency.ErrWaiting before the handover is done.
+// Term returns the term under which this box may give orders now. The error is residency.ErrNotHolder, or
+// residency.ErrWaiting while the handover has not allowed orders yet.
 func (l *Lease) Term() (int64, error) {
 	term, err := l.lease.Term()
 	if err != nil {
-		// The lease ran out. If no box reaches the store, none can have taken it.
+		// The time to act ran out. If no box reaches the store, no other box can have gained the lease.
 		term = l.lease.Status().Term
 		if term == 0 || !l.Peers.StoreLostByAll() {
 			return 0, errors.WithType(err, residency.ErrNotHolder)
 		}
 	}
-	if !l.handover.done(term) {
+	if !l.handover.mayOrder(term) {
 		return 0, residency.ErrWaiting
 	}
 	return term, nil
 }
 
-// NotBefore is when an engine may be given orders, after those of the former holder.
+// NotBefore returns from when an engine may be given orders after those of the former holder.
 func (l *Lease) NotBefore(engine string) time.Time { return l.handover.notBefore(engine) }
 
-// mayBeFree reports whether the lease is this box's to take, as far as is known.
+// mayBeFree reports whether, by the copy of the store, the lease is free or has this box's name. It returns false if
+// this box is leaving or has no copy yet.
 func (l *Lease) mayBeFree() bool {
 	if l.Leaving() {
 		return false
@@ -156,44 +157,44 @@
 	return !held || string(record.Value) == l.Name
 }
 
-// turnCame reports whether this box may contend for a lease that may be free. Its turn comes a moment after it
-// learns that, another moment on each box, and not before the store lists it: a box that has just started knows
-// too few others, and each that contends in vain costs the store up to four calls.
-func (l *Lease) turnCame() bool {
+// mayContend reports whether this box may contend now for a lease that may be free. Each box waits for a random time
+// after it sees the lease free, and does not contend before the store lists it: a box that has just started knows too
+// few others, and each box that contends in vain costs the store up to four calls.
+func (l *Lease) mayContend() bool {
 	if !l.Peers.Listed() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !time.Now().Before(l.turn)
+	return !time.Now().Before(l.contendFrom)
 }
 
-// beginTurn sets when this box may contend. The caller holds the lock.
-func (l *Lease) beginTurn() {
-	wait := rand.N(wakeSpread)
+// scheduleContention sets the time from which this box may contend, and wakes the lease then. The caller holds l.mu.
+func (l *Lease) scheduleContention() {
+	wait := rand.N(contendJitter)
 	if l.Peers.FollowsRelay() {
-		wait = followerDelay + rand.N(followerSpread)
+		wait = followerDelay + rand.N(followerJitter)
 	}
-	l.turn = time.Now().Add(wait)
+	l.contendFrom = time.Now().Add(wait)
 	time.AfterFunc(wait, l.wakeUp)
 }
 
-// Observe takes a new copy of the store: a lease that is free, or that an earlier process of this
-// box holds, is contended for soon.
+// Observe processes a new copy of the store. If the lease is free, or held by an earlier process of this box, this
+// box contends for it after a random time.
 func (l *Lease) Observe(state mirror.State) {
 	record, held := state.Records.Get(l.key)
-	ours := held && string(record.Value) == l.Name && l.lease.Status().Term == 0
+	ofEarlierProcess := held && string(record.Value) == l.Name && l.lease.Status().Term == 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case held && !ours:
-		l.turn = time.Time{}
-	case l.turn.IsZero() && l.Peers.Listed():
-		l.beginTurn()
+	case held && !ofEarlierProcess:
+		l.contendFrom = time.Time{}
+	case l.contendFrom.IsZero() && l.Peers.Listed():
+		l.scheduleContention()
 	}
 }
 
-// wakeUp has the lease looked after at once.
+// wakeUp makes the lease be renewed or contended for at once. It does not block.
 func (l *Lease) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -20,7 +20,7 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// contender is a box on a store that can be cut off from it.
+// contender is a box with an order lease, on a store from which it can be cut off.
 type contender struct {
 	*Lease
 	cutOff, lostByAll, leaving, otherReaches atomic.Bool
@@ -28,7 +28,8 @@
 	state                                    atomic.Pointer[mirror.State]
 }
 
-func contend(ctx context.Context, store kv.Store) *contender {
+// newContender starts a contender whose Lease runs until ctx ends.
+func newContender(ctx context.Context, store kv.Store) *contender {
 	c := &contender{}
 	c.state.Store(&mirror.State{Revision: 1})
 	cut := store
@@ -63,21 +64,21 @@
 	return c
 }
 
-// inBubble runs f on a lease in a bubble of its own time.
+// inBubble runs f on a contender and its store in a bubble with its own clock.
 func inBubble(f func(c *contender, store kv.Store)) {
 	spectest.Bubble(func() {
 		store := kv.NewMemory().Store()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
 			cancel()
-			time.Sleep(10 * time.Second) // What was begun for a term ends with it.
+			time.Sleep(10 * time.Second) // Goroutines started for a term end meanwhile.
 		}()
-		f(contend(ctx, store), store)
+		f(newContender(ctx, store), store)
 	})
 }
 
 var _ = Describe("the order lease", func() {
-	It("allows orders once it is held and the former holder's time is over", func() {
+	It("allows orders once it is held and the orders of a former holder can no longer arrive", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			time.Sleep(time.Second)
 			Expect(c.Held()).To(BeTrue())
@@ -89,7 +90,7 @@
 		})
 	})
 
-	It("ends orders a quarter of its time before it runs out, unless no box reaches the store", func() {
+	It("ends orders a quarter of the TTL before it expires, unless no box reaches the store", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			time.Sleep(5 * time.Second)
 			term, err := c.Term()
@@ -103,7 +104,7 @@
 		})
 	})
 
-	It("is not contended for while another box holds it, the store is unknown or this box leaves", func() {
+	It("is not contended for while another box holds it, there is no copy of the store or this box is leaving", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			Expect(c.mayBeFree()).To(BeTrue())
 			c.leaving.Store(true)
@@ -121,28 +122,28 @@
 		})
 	})
 
-	It("is contended for in turns, later by boxes that follow a relay and not by one that the store does not list", func() {
+	It("is contended for at random times, later by boxes that follow a relay and not by one that the store does not list", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			free := mirror.State{Revision: 1}
 			held := mirror.State{Revision: 2, Records: mirrortest.Records(kv.Record{Key: leaseKey, Value: []byte("another")})}
-			turnAfter := func() time.Duration {
+			waitToContend := func() time.Duration {
 				c.Observe(held)
-				begun := time.Now()
+				start := time.Now()
 				c.Observe(free)
-				for !c.turnCame() && time.Since(begun) < time.Minute {
+				for !c.mayContend() && time.Since(start) < time.Minute {
 					time.Sleep(time.Millisecond)
 				}
-				return time.Since(begun)
+				return time.Since(start)
 			}
 			for range 20 {
-				Expect(turnAfter()).To(BeNumerically("<=", wakeSpread))
+				Expect(waitToContend()).To(BeNumerically("<=", contendJitter))
 			}
 			c.follows.Store(true)
 			for range 20 {
-				Expect(turnAfter()).To(And(BeNumerically(">=", followerDelay), BeNumerically("<=", followerDelay+followerSpread)))
+				Expect(waitToContend()).To(And(BeNumerically(">=", followerDelay), BeNumerically("<=", followerDelay+followerJitter)))
 			}
 			c.unlisted.Store(true)
-			Expect(turnAfter()).To(Equal(time.Minute))
+			Expect(waitToContend()).To(Equal(time.Minute))
 		})
 	})
 
@@ -150,10 +151,10 @@
 		inBubble(func(c *contender, _ kv.Store) {
 			time.Sleep(5 * time.Second)
 			c.cutOff.Store(true)
-			time.Sleep(resignAfter + resignCheck)
+			time.Sleep(resignAfter + resignCheckInterval)
 			Expect(c.lease.Status().Term).NotTo(BeZero())
 			c.otherReaches.Store(true)
-			time.Sleep(2 * resignCheck)
+			time.Sleep(2 * resignCheckInterval)
 			Expect(c.lease.Status().Term).To(BeZero())
 		})
 	})
@@ -165,13 +166,13 @@
 		_, err = store.Swap(context.Background(), kv.Swap{Key: leaseKey, Value: []byte("b"), Lease: id})
 		Expect(err).NotTo(HaveOccurred())
 		l := New(Config{Name: "c", Store: store, TTL: 3 * time.Second, Log: zap.NewNop()})
-		_, err = l.answerRevoke(context.Background(), revokeRequest{Lease: id})
+		_, err = l.handleRevoke(context.Background(), revokeRequest{Lease: id})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Get(context.Background(), leaseKey)
 		Expect(err).To(MatchError(kv.ErrNotFound))
 	})
 
-	It("stops this box's orders at a yield call, and reports the ages of its last ones", func() {
+	It("ends this box's orders at a yield call, and reports the ages of the last ones", func() {
 		inBubble(func(c *contender, _ kv.Store) {
 			time.Sleep(5 * time.Second)
 			term, err := c.Term()
--- a/internal/orderlease/messages.go
+++ b/internal/orderlease/messages.go
@@ -12,28 +12,29 @@
 	methodRevoke = "revoke"
 )
 
-// yieldRequest has a former holder of the order lease stop giving orders under older terms.
+// yieldRequest asks a former holder of the order lease to stop giving orders under terms below Term. To is the name
+// of the new holder.
 type yieldRequest struct {
 	Term int64  `json:"term"`
 	To   string `json:"to"`
 }
 
-// yieldAnswer is when the last orders were given.
+// yieldAnswer reports how long ago the last orders were given.
 type yieldAnswer struct {
-	// Ages of the last order, by engine.
+	// Ages holds the age of the last order to each engine.
 	Ages map[string]time.Duration `json:"ages"`
-	// Others is the least age of the last order to any other engine.
+	// Others is the least age that the last order to any other engine can have.
 	Others time.Duration `json:"others"`
 }
 
-// revokeRequest has a box revoke a lease in the store.
+// revokeRequest asks a box to revoke a lease in the store.
 type revokeRequest struct {
 	Lease kv.LeaseID `json:"lease"`
 }
 
-// holderRecord is what the store keeps of the box that last gave orders.
+// holderRecord is the record in the store of the box that last gave orders.
 type holderRecord struct {
 	Name string `json:"name"`
-	// Settled reports that no orders of a box before it can arrive any more.
+	// Settled reports that orders of the holders before it can no longer arrive.
 	Settled bool `json:"settled,omitempty"`
 }
--- a/internal/orderlease/resign.go
+++ b/internal/orderlease/resign.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// resignCheck is how often a holder looks whether it should resign.
-	resignCheck = 250 * time.Millisecond
-	// resignAfter is how long a holder may be without a renewal, while others reach the store,
-	// before it resigns. Renewals are a third of the TTL apart.
+	// resignCheckInterval is how often a holder checks whether it should resign.
+	resignCheckInterval = 250 * time.Millisecond
+	// resignAfter is how long after its last renewal a holder resigns if another box reaches the store. Renewals are
+	// a third of the TTL apart.
 	resignAfter = 2500 * time.Millisecond
 )
 
-// ResignWhenCutOff has this box resign when it can't renew the lease and another box could, until
-// ctx ends.
+// ResignWhenCutOff makes this box resign when it can't renew the lease and another box reaches the store. It runs
+// until ctx ends.
 func (l *Lease) ResignWhenCutOff(ctx context.Context) {
-	for pause.For(ctx, resignCheck) == nil {
-		claim := l.lease.Status()
-		if claim.Term == 0 || time.Since(claim.LastRenewal) < resignAfter {
+	for pause.For(ctx, resignCheckInterval) == nil {
+		status := l.lease.Status()
+		if status.Term == 0 || time.Since(status.LastRenewal) < resignAfter {
 			continue
 		}
 		address, ok := l.Peers.ReachesStore()
@@ -34,13 +34,13 @@
 			continue
 		}
 		id := l.lease.Resign()
-		l.Log.Warn("order lease resigned", zap.Int64("term", claim.Term), zap.Duration("unrenewed", time.Since(claim.LastRenewal)), zap.String("peer", address))
-		l.revokeBy(ctx, address, id)
+		l.Log.Warn("order lease resigned", zap.Int64("term", status.Term), zap.Duration("unrenewed", time.Since(status.LastRenewal)), zap.String("peer", address))
+		l.revokeThrough(ctx, address, id)
 	}
 }
 
-// revokeBy has another box revoke a lease of the store.
-func (l *Lease) revokeBy(ctx context.Context, address string, id kv.LeaseID) {
+// revokeThrough asks another box to revoke a lease in the store.
+func (l *Lease) revokeThrough(ctx context.Context, address string, id kv.LeaseID) {
 	callCtx, cancel := context.WithTimeout(ctx, cluster.CallTimeout)
 	defer cancel()
 	_, err := peer.Call[peer.Empty](callCtx, l.Client, address, methodRevoke, revokeRequest{Lease: id})
@@ -49,7 +49,7 @@
 	}
 }
 
-// answerRevoke revokes a lease of the store for a box that does not reach it.
-func (l *Lease) answerRevoke(ctx context.Context, request revokeRequest) (peer.Empty, error) {
+// handleRevoke revokes a lease in the store for a box that does not reach the store.
+func (l *Lease) handleRevoke(ctx context.Context, request revokeRequest) (peer.Empty, error) {
 	return peer.Empty{}, l.Store.Revoke(ctx, request.Lease)
 }
