--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -9,19 +9,19 @@
 	"ospreymoor.example/ospreymoor/pkg/quarantine"
 )
 
-// ofCrash is a register that knows the requests under way at one crash.
-func ofCrash(requests int) *quarantine.Register {
+// afterCrash returns a register that knows of one crash with so many requests in flight.
+func afterCrash(requests int) *quarantine.Register {
 	r := quarantine.NewRegister(quarantine.DefaultPolicy)
 	at := time.Now()
 	for n := range requests {
-		r.NoteCrash(named(fmt.Sprint(n)), "i-0123456789@1767225600000", at)
+		r.NoteCrash(fingerprintOf(fmt.Sprint(n)), "i-0123456789@1767225600000", at)
 	}
 	return r
 }
 
-// BenchmarkUpdate tells of a crash with 20 requests under way, and takes it in.
+// BenchmarkUpdate encodes the update of a crash with 20 requests in flight, decodes it and merges it.
 func BenchmarkUpdate(b *testing.B) {
-	from := ofCrash(20)
+	from := afterCrash(20)
 	bytes := 0
 	for b.Loop() {
 		text, err := json.Marshal(from.Update(from.All()))
@@ -38,19 +38,19 @@
 	b.ReportMetric(float64(bytes), "bytes")
 }
 
-// BenchmarkVerdict asks for a request that nothing is known of, beside as many records as are kept.
+// BenchmarkVerdict asks for a request without a record, while the register is full.
 func BenchmarkVerdict(b *testing.B) {
-	r := ofCrash(4096)
-	other := named("other")
+	r := afterCrash(4096)
+	other := fingerprintOf("other")
 	for b.Loop() {
 		r.Verdict(other)
 	}
 }
 
-// BenchmarkRecords is the memory of as many records as are kept.
+// BenchmarkRecords measures the memory of a full register.
 func BenchmarkRecords(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		ofCrash(4096)
+		afterCrash(4096)
 	}
 }
--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,13 +1,14 @@
-// Package quarantine is what a fleet remembers of requests under which upstreams crashed, and the rule that keeps those
-// away from upstreams under which one after the other does.
+// Package quarantine keeps records of requests under which upstreams crashed, and decides which requests are held,
+// that is, sent to no upstream, because one upstream after the other crashed under them.
 //
-// A Fingerprint names a request by what its caller asked, so that it is known again when it comes again: at another box,
-// under another id, after a restart. A Register holds one box's records: under which crashes a request was under way since
-// it was last answered whole. Boxes tell each other what is new as Updates, which may come late, twice and in any order. What
-// is held is also a record in the store, as Stored, for boxes that start after it. A Policy is the rule. How updates travel is
-// internal/cluster's, the store's records are internal/storeview's, and what a held request is answered internal/gateway's.
+// A Fingerprint identifies a request by what its caller asked, so that it is recognized when it is sent again: to
+// another box, under another ID, or after a restart. A Register holds one box's records: the crashes at which a
+// request was in flight since it was last answered completely. Boxes send each other what changed as Updates, which
+// may arrive late, twice and in any order. Each held request also has a record in the store, as Stored, for boxes
+// that start later. A Policy says how long a request is held. internal/cluster sends the updates, internal/storeview
+// keeps the records in the store, and internal/gateway answers held requests.
 //
-// It owns the records alone, bounded in number and age, and relies on its callers for the time.
+// The package owns only the records, which are limited in number and age. Its callers supply the times of crashes.
 //
 // `ospreymoor node` uses it.
 package quarantine
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -8,16 +8,16 @@
 	"github.com/juju/errors"
 )
 
-// Fingerprint names a request by its content. It is short, because of the requests under way at a crash, each of which every
-// box is told, all but one are usually innocent. To have another customer's request refused takes a request of one's own with
-// the same 64 bits, of a hash that nobody can steer.
+// Fingerprint identifies a request by its content. It is short because at a crash the fingerprints of all requests in
+// flight are sent to every box, and all but one of these are usually not the cause. To get another customer's request
+// held, a customer needs a request of its own with the same 64 bits of a SHA-256 hash, which nobody can choose.
 type Fingerprint [8]byte
 
-// Content is what a fingerprint is made of. Headers have no part in it: a caller that comes again gives another id and
-// deadline.
+// Content is the part of a request that its fingerprint is computed from. Headers are left out: a caller that retries
+// sends another ID and deadline.
 type Content struct {
-	// Customer is the name of the one that asks; empty if there is none. What one customer sends never tells against
-	// another's requests.
+	// Customer is the name of the customer that sends the request; empty if there is none. As it is part of the
+	// fingerprint, one customer's requests do not count against another's.
 	Customer string
 	Method   string
 	Host     string
@@ -26,7 +26,7 @@
 	Body []byte
 }
 
-// Fingerprint is that of the content. A body of 18 KB takes 12.5 µs (BenchmarkFingerprint).
+// Fingerprint returns the fingerprint of the content. A body of 18 KB takes 12.5 µs (BenchmarkFingerprint).
 func (c *Content) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{c.Customer, c.Method, c.Host, c.URI} {
@@ -39,21 +39,21 @@
 	return Fingerprint(hash.Sum(nil))
 }
 
-// String is the fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// errFingerprint is the error of a text that is no fingerprint.
+// errFingerprint is the error for a text that is not a fingerprint.
 const errFingerprint = errors.ConstError("not a fingerprint: 16 hexadecimal digits are expected")
 
-// ParseFingerprint reads a fingerprint in hexadecimal.
+// ParseFingerprint parses a fingerprint in hexadecimal.
 func ParseFingerprint(text string) (f Fingerprint, err error) {
 	return f, f.UnmarshalText([]byte(text))
 }
 
-// MarshalText is the fingerprint in hexadecimal.
+// MarshalText returns the fingerprint in hexadecimal.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads a fingerprint in hexadecimal.
+// UnmarshalText parses a fingerprint in hexadecimal.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(f)) {
 		return errFingerprint
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("a fingerprint", func() {
 	content := quarantine.Content{Customer: "c", Method: "POST", Host: "h", URI: "/a/b?x=1", Body: []byte("text")}
 
-	DescribeTable("differs with what is asked and by whom", func(change func(*quarantine.Content)) {
+	DescribeTable("differs with each part of the content", func(change func(*quarantine.Content)) {
 		other := content
 		change(&other)
 		Expect(other.Fingerprint()).NotTo(Equal(content.Fingerprint()))
@@ -25,22 +25,22 @@
 		Entry("host", func(c *quarantine.Content) { c.Host = "i" }),
 		Entry("query", func(c *quarantine.Content) { c.URI = "/a/b?x=2" }),
 		Entry("body", func(c *quarantine.Content) { c.Body = []byte("texts") }),
-		Entry("where one part ends", func(c *quarantine.Content) { c.Host, c.URI = "h/a", "/b?x=1" }),
+		Entry("boundary between two parts", func(c *quarantine.Content) { c.Host, c.URI = "h/a", "/b?x=1" }),
 	)
 
-	It("is the same for the same, and is read as it is written", func() {
-		again := content
-		text, err := again.Fingerprint().MarshalText()
+	It("is equal for equal content, and is parsed as it was formatted", func() {
+		same := content
+		text, err := same.Fingerprint().MarshalText()
 		Expect(err).NotTo(HaveOccurred())
-		var read quarantine.Fingerprint
-		Expect(read.UnmarshalText(text)).To(Succeed())
-		Expect(read).To(Equal(content.Fingerprint()))
-		Expect(read.UnmarshalText(text[1:])).NotTo(Succeed())
-		Expect(read.UnmarshalText(append(text[:15:15], 'x'))).NotTo(Succeed())
+		var parsed quarantine.Fingerprint
+		Expect(parsed.UnmarshalText(text)).To(Succeed())
+		Expect(parsed).To(Equal(content.Fingerprint()))
+		Expect(parsed.UnmarshalText(text[1:])).NotTo(Succeed())
+		Expect(parsed.UnmarshalText(append(text[:15:15], 'x'))).NotTo(Succeed())
 	})
 })
 
-// BenchmarkFingerprint is that of a request with a body of 18 KB.
+// BenchmarkFingerprint computes the fingerprint of a request with a body of 18 KB.
 func BenchmarkFingerprint(b *testing.B) {
 	content := quarantine.Content{Method: "POST", Host: "host", URI: "/a/b", Body: make([]byte, 18_000)}
 	for b.Loop() {
--- a/pkg/quarantine/policy.go
+++ b/pkg/quarantine/policy.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Policy is the rule on a request under which upstreams crash one after the other, without a whole answer in between.
+// Policy says how long a request is held after upstreams crashed under it in a row, that is, without a complete
+// answer in between.
 type Policy struct {
-	// PauseAfter is how many crashes hold the request for Pause after the latest.
+	// PauseAfter is the number of crashes from which on the request is held for Pause after the latest crash.
 	PauseAfter int
 	Pause      time.Duration
-	// HoldAfter is how many hold it for Hold, and for twice as long after each further one.
+	// HoldAfter is the number of crashes from which on it is held for Hold, doubled with each further crash.
 	HoldAfter int
 	Hold      time.Duration
 }
 
-// DefaultPolicy is the rule in force. One crash holds nothing: most upstreams crash for causes of their own, and a request that is
-// sent on at once is served. Of two in a row the cause is probably the request; whoever only ran beside it twice comes again
-// half a minute later.
+// DefaultPolicy is the policy in use. After one crash the request is not held: most upstreams crash for causes of
+// their own, and a request that is retried at once is served. After two crashes in a row the request is probably the
+// cause. A request that was twice in flight only beside the cause can be sent again half a minute later.
 var DefaultPolicy = Policy{
 	PauseAfter: 2,
 	Pause:      30 * time.Second,
@@ -22,11 +23,11 @@
 	Hold:       10 * time.Minute,
 }
 
-// span is how long a request is held after the latest of its crashes; 0 for as many as it may have.
-func (p *Policy) span(crashes int) time.Duration {
+// holdTime returns how long a request is held after the latest of its crashes; 0 if they are too few to hold it.
+func (p *Policy) holdTime(crashes int) time.Duration {
 	switch {
 	case crashes >= p.HoldAfter:
-		return p.Hold << min(crashes-p.HoldAfter, keptCrashes)
+		return p.Hold << min(crashes-p.HoldAfter, maxCrashes)
 	case crashes >= p.PauseAfter:
 		return p.Pause
 	}
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -7,138 +7,144 @@
 )
 
 const (
-	// sameCrash is the longest time between two reports of one crash of an upstream: boxes see it within some milliseconds,
-	// and reports of it are some hundred ms older or younger than they say after three calls. An
-	// upstream needs seconds to start again.
-	sameCrash = 1500 * time.Millisecond
-	// together is the longest time between crashes of upstreams that fell for one cause. A request that crashes upstreams gets to
-	// the next one only when the last is gone, which takes longer.
-	together = 50 * time.Millisecond
-	// memory is for how long a record is kept after its latest crash, or after the request may be sent again. A request
-	// that comes again once in half an hour crashes three upstreams in an hour and a half.
-	memory = 30 * time.Minute
-	// answeredMemory is for how long a request that was answered is remembered as such: reports of crashes before that may
-	// still come. Far longer than a report is under way.
-	answeredMemory = time.Minute
-	// keptCrashes is how many crashes of a record are kept, the latest. It bounds the hold to 2^5 times the first one.
-	keptCrashes = 8
-	// pruneInterval is how often records that are over are dropped.
+	// sameCrashWindow is the longest time between two reports of the same crash of an upstream. Boxes see a crash within
+	// some milliseconds of each other, and after three calls the age in a report is wrong by some hundred ms in either
+	// direction. An upstream needs seconds to start again, so it does not crash twice in this time.
+	sameCrashWindow = 1500 * time.Millisecond
+	// commonCauseWindow is the longest time between crashes of upstreams that had one common cause. A request that
+	// crashes upstreams is sent to the next one only after the former has crashed, which takes longer.
+	commonCauseWindow = 50 * time.Millisecond
+	// recordRetention is how long a record is kept after its latest crash, or after the hold that followed it. A request
+	// that is sent once every half hour crashes three upstreams in an hour and a half.
+	recordRetention = 30 * time.Minute
+	// answeredRetention is how long the record of an answered request is kept if it has no later crash: reports of
+	// crashes before the answer may still arrive. It is far longer than the time that a report takes to arrive.
+	answeredRetention = time.Minute
+	// maxCrashes is how many crashes a record keeps, the latest ones. With DefaultPolicy it limits a hold to 2^5 times
+	// Policy.Hold.
+	maxCrashes = 8
+	// pruneInterval is how often Empty drops expired records.
 	pruneInterval = 10 * time.Second
-	// maxRecords bounds the records of a box, at 0.2 KB each. The requests under way when 60 engines crash at once.
+	// maxRecords limits the records of a box, at 0.2 KB each. It suffices for the requests in flight when 60 engines
+	// crash at once.
 	maxRecords = 4096
 )
 
-// Source is how a box came to know of a crash.
+// Source is how a box learned of a crash.
 type Source string
 
-// The sources.
 const (
 	FromSelf  Source = "self"
 	FromPeer  Source = "peer"
 	FromStore Source = "store"
 )
 
-// crash is a crash of an upstream at which a request was under way.
+// crash is a crash of an upstream at which a request was in flight.
 type crash struct {
 	upstream string
 	at       time.Time
-	// known is when this box came to know of it, and source how.
-	known  time.Time
-	source Source
+	// knownSince is when this box learned of it, and source how.
+	knownSince time.Time
+	source     Source
 }
 
-// record is what is known of one request.
+// record is what this box knows of one request.
 type record struct {
-	// crashes since answered, the earliest first.
+	// crashes holds the crashes since answered, the earliest first.
 	crashes []crash
-	// answered is when the request was last answered whole; zero if it was not, as far as is known.
+	// answered is when the request was last answered completely; zero if no such answer is known.
 	answered time.Time
-	// stored is how many crashes the store has of it, as of restored; 0 if it has none.
-	stored   int
-	restored time.Time
+	// storedCrashes is how many crashes the store's record had when it was read at restoredAt; 0 if there is none.
+	storedCrashes int
+	restoredAt    time.Time
 }
 
-// count is how many crashes in a row there were under the request. Upstreams that fall together count once: a request that all ask
-// for runs at many of them, and when a rack loses power its next answers would be held up by what it has no part in.
-func (r *record) count() int {
+// crashCount returns how many crashes in a row there were under the request. Upstreams that crash within
+// commonCauseWindow count once: a request that many callers send runs at many upstreams. When a rack loses power, it
+// would otherwise be held for crashes that it did not cause.
+func (r *record) crashCount() int {
 	count := 0
 	var counted time.Time
 	for _, c := range r.crashes {
-		if count == 0 || c.at.Sub(counted) > together {
+		if count == 0 || c.at.Sub(counted) > commonCauseWindow {
 			count++
 			counted = c.at
 		}
 	}
-	return max(count, r.stored)
+	return max(count, r.storedCrashes)
 }
 
-// latest is when the latest upstream crashed, at the latest.
-func (r *record) latest() time.Time {
+// latestCrash returns when the latest upstream crashed. If this box knows the crashes only from the store, it returns
+// when it read them there, which is later than the crash.
+func (r *record) latestCrash() time.Time {
 	if len(r.crashes) == 0 {
-		return r.restored
+		return r.restoredAt
 	}
 	return r.crashes[len(r.crashes)-1].at
 }
 
-// held is until when the request is held; it may be over.
-func (r *record) held(policy *Policy) time.Time { return r.latest().Add(policy.span(r.count())) }
+// heldUntil returns until when the request is held, which may be in the past.
+func (r *record) heldUntil(policy *Policy) time.Time {
+	return r.latestCrash().Add(policy.holdTime(r.crashCount()))
+}
 
-// over reports whether a record is of no use any more.
-func (r *record) over(policy *Policy, now time.Time) bool {
-	if r.count() == 0 {
-		return now.Sub(r.answered) > answeredMemory
+// expired reports whether a record is no longer needed.
+func (r *record) expired(policy *Policy, now time.Time) bool {
+	if r.crashCount() == 0 {
+		return now.Sub(r.answered) > answeredRetention
 	}
-	return now.Sub(r.held(policy)) > memory
+	return now.Sub(r.heldUntil(policy)) > recordRetention
 }
 
-// add adds a crash, and reports whether it is news.
+// add adds a crash, and reports whether it was new.
 func (r *record) add(c crash) bool {
 	if !c.at.After(r.answered) {
 		return false
 	}
 	for _, old := range r.crashes {
-		if old.upstream == c.upstream && c.at.Sub(old.at).Abs() < sameCrash {
+		if old.upstream == c.upstream && c.at.Sub(old.at).Abs() < sameCrashWindow {
 			return false
 		}
 	}
-	at, _ := slices.BinarySearchFunc(r.crashes, c.at, func(old crash, at time.Time) int { return old.at.Compare(at) })
-	if at == 0 && len(r.crashes) == keptCrashes {
+	index, _ := slices.BinarySearchFunc(r.crashes, c.at, func(old crash, at time.Time) int { return old.at.Compare(at) })
+	if index == 0 && len(r.crashes) == maxCrashes {
 		return false
 	}
-	r.crashes = slices.Insert(r.crashes, at, c)
-	r.crashes = r.crashes[max(0, len(r.crashes)-keptCrashes):]
+	r.crashes = slices.Insert(r.crashes, index, c)
+	r.crashes = r.crashes[max(0, len(r.crashes)-maxCrashes):]
 	return true
 }
 
-// answer notes a whole answer, and reports whether it is news.
-func (r *record) answer(at time.Time) bool {
+// addAnswer records a complete answer, which clears the crashes before it. It reports whether the answer is newer
+// than the last one.
+func (r *record) addAnswer(at time.Time) bool {
 	if !at.After(r.answered) {
 		return false
 	}
 	r.answered = at
 	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool { return !c.at.After(at) })
-	if !r.restored.After(at) {
-		r.stored = 0
+	if !r.restoredAt.After(at) {
+		r.storedCrashes = 0
 	}
 	return true
 }
 
-// Register is what one box knows of requests under which upstreams crashed. It is safe for concurrent use.
+// Register holds one box's records of requests under which upstreams crashed. It is safe for concurrent use.
 type Register struct {
 	Policy Policy
-	// OnHeld is called with each request when it is held once more, with the register locked: it must not call it. nil is not
-	// called.
+	// OnHeld is called each time that the crash count of a request rises, also by Restore, and it is held. It is called
+	// with the register locked, so it must not call the register. nil is not called.
 	OnHeld func(Fingerprint, Verdict)
-	// OnChanged is called when this box has news for others, with the register locked: it must not call it. nil is not
-	// called.
+	// OnChanged is called when this box has a new crash to report to others. It is called with the register locked, so
+	// it must not call the register. nil is not called.
 	OnChanged func()
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// changed are the records with news for other boxes.
+	// changed holds the requests whose records have changes of this box to report to others.
 	changed map[Fingerprint]bool
-	// pruned is when records that are over were last dropped.
-	pruned time.Time
+	// lastPrune is when expired records were last dropped.
+	lastPrune time.Time
 }
 
 // NewRegister returns a register without records.
@@ -146,81 +152,81 @@
 	return &Register{Policy: policy, records: map[Fingerprint]*record{}, changed: map[Fingerprint]bool{}}
 }
 
-// Empty drops records that are over, at most once in pruneInterval, and reports whether nothing is known of any request. It is
-// asked for each request, ahead of what costs more.
+// Empty drops expired records, at most once per pruneInterval, and reports whether none is left. Callers check it for
+// each request before they compute the fingerprint, which costs more.
 func (r *Register) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); len(r.records) > 0 && now.Sub(r.pruned) >= pruneInterval {
+	if now := time.Now(); len(r.records) > 0 && now.Sub(r.lastPrune) >= pruneInterval {
 		r.prune(now)
 	}
 	return len(r.records) == 0
 }
 
-// NoteCrash notes that an upstream crashed while a request of this box was under way there.
+// NoteCrash records that an upstream crashed while a request of this box was in flight there.
 func (r *Register) NoteCrash(f Fingerprint, upstream string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.add(f, crash{upstream: upstream, at: at, known: now, source: FromSelf}) {
-		r.noteChanged(f)
+	if r.add(f, crash{upstream: upstream, at: at, knownSince: now, source: FromSelf}) {
+		r.markChanged(f)
 	}
 }
 
-// noteChanged notes news for other boxes. The caller holds the lock.
-func (r *Register) noteChanged(f Fingerprint) {
+// markChanged marks a record as changed and calls OnChanged. The caller holds the lock.
+func (r *Register) markChanged(f Fingerprint) {
 	r.changed[f] = true
 	if r.OnChanged != nil {
 		r.OnChanged()
 	}
 }
 
-// add adds a crash to a request's record, and reports whether it is news. The caller holds the lock.
+// add adds a crash to a request's record, and reports whether it was new. The caller holds the lock.
 func (r *Register) add(f Fingerprint, c crash) bool {
-	known := r.of(f, c.known)
-	before := known.count()
-	if !known.add(c) {
+	rec := r.recordOf(f, c.knownSince)
+	before := rec.crashCount()
+	if !rec.add(c) {
 		return false
 	}
-	r.noteHeld(f, known, before)
+	r.reportHeld(f, rec, before)
 	return true
 }
 
-// noteHeld has it known that a request is held once more. The caller holds the lock.
-func (r *Register) noteHeld(f Fingerprint, known *record, before int) {
-	if r.OnHeld != nil && known.count() > before && known.count() >= r.Policy.PauseAfter {
-		r.OnHeld(f, known.verdict(&r.Policy, time.Now()))
+// reportHeld calls OnHeld if a request's crash count rose above before and it is held. The caller holds the lock.
+func (r *Register) reportHeld(f Fingerprint, rec *record, before int) {
+	if r.OnHeld != nil && rec.crashCount() > before && rec.crashCount() >= r.Policy.PauseAfter {
+		r.OnHeld(f, rec.verdict(&r.Policy, time.Now()))
 	}
 }
 
-// NoteAnswered notes that a request was answered whole, so that nothing is held against it.
+// NoteAnswered records that a request was answered completely, which clears its crashes.
 func (r *Register) NoteAnswered(f Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known := r.records[f]; known != nil && known.count() > 0 && known.answer(time.Now()) {
-		r.changed[f] = true // Not worth telling at once.
+	if rec := r.records[f]; rec != nil && rec.crashCount() > 0 && rec.addAnswer(time.Now()) {
+		r.changed[f] = true // Reported with the next update; not worth a call of OnChanged.
 	}
 }
 
-// of returns the record of a request, a new one if there is none. The caller holds the lock.
-func (r *Register) of(f Fingerprint, now time.Time) *record {
-	known := r.records[f]
-	if known != nil && known.over(&r.Policy, now) {
+// recordOf returns the record of a request, a new one if there is none or it has expired. The caller holds the lock.
+func (r *Register) recordOf(f Fingerprint, now time.Time) *record {
+	rec := r.records[f]
+	if rec != nil && rec.expired(&r.Policy, now) {
 		r.drop(f)
-		known = nil
+		rec = nil
 	}
-	if known == nil {
+	if rec == nil {
 		if len(r.records) >= maxRecords {
 			r.evict(now)
 		}
-		known = &record{}
-		r.records[f] = known
+		rec = &record{}
+		r.records[f] = rec
 	}
-	return known
+	return rec
 }
 
-// evict drops the records that are over, and if there are none the one with the fewest crashes, of these the one whose latest
-// is the longest ago. The caller holds the lock.
+// evict drops the expired records. If there are still maxRecords, it drops the one with the fewest crashes; of
+// several such records, the one whose latest crash is the longest ago. The caller holds the lock.
 func (r *Register) evict(now time.Time) {
 	r.prune(now)
 	if len(r.records) < maxRecords {
@@ -228,19 +234,19 @@
 	}
 	var least Fingerprint
 	var found *record
-	for f, known := range r.records {
-		if found == nil || known.count() < found.count() || known.count() == found.count() && known.latest().Before(found.latest()) {
-			least, found = f, known
+	for f, rec := range r.records {
+		if found == nil || rec.crashCount() < found.crashCount() || rec.crashCount() == found.crashCount() && rec.latestCrash().Before(found.latestCrash()) {
+			least, found = f, rec
 		}
 	}
 	r.drop(least)
 }
 
-// prune drops the records that are over. The caller holds the lock.
+// prune drops the expired records. The caller holds the lock.
 func (r *Register) prune(now time.Time) {
-	r.pruned = now
-	for f, known := range r.records {
-		if known.over(&r.Policy, now) {
+	r.lastPrune = now
+	for f, rec := range r.records {
+		if rec.expired(&r.Policy, now) {
 			r.drop(f)
 		}
 	}
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -12,46 +12,47 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-func named(text string) quarantine.Fingerprint {
-	content := quarantine.Content{URI: text}
+// fingerprintOf returns the fingerprint of a request to a URI.
+func fingerprintOf(uri string) quarantine.Fingerprint {
+	content := quarantine.Content{URI: uri}
 	return content.Fingerprint()
 }
 
 var _ = Describe("a register", func() {
-	request := named("r")
+	request := fingerprintOf("r")
 	var r *quarantine.Register
-	// in runs f on a new register in a bubble.
-	in := func(f func()) func() {
+	// inBubble returns a function that runs f in a bubble, after it has set r to a new register.
+	inBubble := func(f func()) func() {
 		return func() {
 			spectest.Bubble(func() {
 				r = quarantine.NewRegister(quarantine.DefaultPolicy)
-				time.Sleep(time.Hour) // Times of crashes may lie before the bubble's begin else.
+				time.Sleep(time.Hour) // Otherwise crashes of some age would lie before the bubble's start.
 				f()
 			})
 		}
 	}
 	crash := func(upstream string) { r.NoteCrash(request, upstream, time.Now()) }
-	// inTurn is crashes one after the other.
-	inTurn := func(upstreams ...string) {
+	// crashInTurn has upstreams crash one after the other, too far apart to have a common cause.
+	crashInTurn := func(upstreams ...string) {
 		for _, upstream := range upstreams {
 			crash(upstream)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	held := func() time.Duration { return r.Verdict(request).RetryAfter }
+	heldFor := func() time.Duration { return r.Verdict(request).RetryAfter }
 
-	It("holds a request for longer with each upstream that crashes under it", in(func() {
+	It("holds a request for longer with each upstream that crashes under it", inBubble(func() {
 		var spans []time.Duration
 		for n := range 5 {
 			crash(fmt.Sprint("e", n))
-			spans = append(spans, held())
-			time.Sleep(max(held(), 100*time.Millisecond))
+			spans = append(spans, heldFor())
+			time.Sleep(max(heldFor(), 100*time.Millisecond))
 			Expect(r.Verdict(request).Held).To(BeFalse())
 		}
 		Expect(spans).To(Equal([]time.Duration{0, 30 * time.Second, 10 * time.Minute, 20 * time.Minute, 40 * time.Minute}))
 	}))
 
-	It("counts a crash once that several requests or boxes saw, and one of the same upstream later again", in(func() {
+	It("counts a crash only once when several requests or boxes report it, and a later crash of the same upstream again", inBubble(func() {
 		crash("e1")
 		time.Sleep(3 * time.Millisecond)
 		crash("e1")
@@ -64,7 +65,7 @@
 		Expect(r.Verdict(request).Crashes).To(Equal(2))
 	}))
 
-	It("counts upstreams that fall together once", in(func() {
+	It("counts several upstreams that crash together as one crash", inBubble(func() {
 		for n := range 5 {
 			crash(fmt.Sprint("e", n))
 			time.Sleep(5 * time.Millisecond)
@@ -75,7 +76,7 @@
 		Expect(r.Verdict(request).Crashes).To(Equal(2))
 	}))
 
-	It("holds nothing against a request that is answered, and takes no earlier crash for a new one", in(func() {
+	It("clears the crashes of a request that is answered, and ignores late reports of earlier ones", inBubble(func() {
 		crash("e1")
 		time.Sleep(time.Second)
 		crash("e2")
@@ -89,14 +90,14 @@
 		Expect(r.Verdict(request).Crashes).To(BeZero())
 	}))
 
-	It("forgets what has not crashed an upstream for long, and all in the end", in(func() {
+	It("drops the record of a request some time after its last crash", inBubble(func() {
 		crash("e1")
 		time.Sleep(20 * time.Minute)
 		crash("e2")
 		Expect(r.Verdict(request).Crashes).To(Equal(2))
 		time.Sleep(40 * time.Minute)
 		Expect(r.Empty()).To(BeTrue())
-		By("so that a crash much later is the first one, whoever asked meanwhile")
+		By("so that a much later crash counts as the first one")
 		crash("e3")
 		time.Sleep(40 * time.Minute)
 		crash("e4")
@@ -105,7 +106,7 @@
 		Expect(r.Counts()).To(Equal(quarantine.Counts{}))
 	}))
 
-	It("says what is known, for how long and from where", in(func() {
+	It("reports what is known of a request, since when and from which source", inBubble(func() {
 		crash("e1")
 		r.Take(quarantine.Update{Crashes: []quarantine.CrashReport{{
 			Upstream: "e2", Age: -time.Second, Requests: []quarantine.Fingerprint{request},
@@ -121,21 +122,21 @@
 		}))
 	}))
 
-	It("holds after a restart what the store has, and records nothing of it anew", in(func() {
+	It("holds after a restart the requests that the store has, and neither writes nor reports them again", inBubble(func() {
 		r.Restore(request, quarantine.Stored{Crashes: 3})
-		Expect(held()).To(Equal(10 * time.Minute))
+		Expect(heldFor()).To(Equal(10 * time.Minute))
 		Expect(r.Held()).To(BeEmpty())
 		Expect(r.Update(r.All())).To(Equal(quarantine.Update{}))
 		time.Sleep(time.Minute)
 		r.Restore(request, quarantine.Stored{Crashes: 3})
-		Expect(held()).To(Equal(9 * time.Minute))
+		Expect(heldFor()).To(Equal(9 * time.Minute))
 		time.Sleep(9 * time.Minute)
 		crash("e1")
-		Expect(held()).To(Equal(10 * time.Minute))
+		Expect(heldFor()).To(Equal(10 * time.Minute))
 	}))
 
-	It("lists for the store what is held", in(func() {
-		inTurn("e1")
+	It("lists the requests that are held, for the store", inBubble(func() {
+		crashInTurn("e1")
 		Expect(r.Held()).To(BeEmpty())
 		crash("e2")
 		Expect(r.Held()).To(HaveLen(1))
@@ -147,31 +148,31 @@
 		}}))
 	}))
 
-	It("tells of each request when it is held, and for how long", in(func() {
-		told := map[quarantine.Fingerprint][]time.Duration{}
-		r.OnHeld = func(f quarantine.Fingerprint, v quarantine.Verdict) { told[f] = append(told[f], v.RetryAfter) }
+	It("calls OnHeld with each request that is held, and for how long", inBubble(func() {
+		calls := map[quarantine.Fingerprint][]time.Duration{}
+		r.OnHeld = func(f quarantine.Fingerprint, v quarantine.Verdict) { calls[f] = append(calls[f], v.RetryAfter) }
 		for n := range 4 {
 			crash(fmt.Sprint("e", n))
-			inTurn(fmt.Sprint("e", n))
+			crashInTurn(fmt.Sprint("e", n))
 		}
-		r.Restore(named("another"), quarantine.Stored{Crashes: 3})
-		Expect(told).To(Equal(map[quarantine.Fingerprint][]time.Duration{
-			request: {30 * time.Second, 10 * time.Minute, 20 * time.Minute}, named("another"): {10 * time.Minute},
+		r.Restore(fingerprintOf("another"), quarantine.Stored{Crashes: 3})
+		Expect(calls).To(Equal(map[quarantine.Fingerprint][]time.Duration{
+			request: {30 * time.Second, 10 * time.Minute, 20 * time.Minute}, fingerprintOf("another"): {10 * time.Minute},
 		}))
 	}))
 
-	It("keeps what most crash under when there is too much", in(func() {
-		inTurn("e0", "e1", "e2")
+	It("keeps the requests with the most crashes when there are too many records", inBubble(func() {
+		crashInTurn("e0", "e1", "e2")
 		for n := range 10_000 {
 			time.Sleep(time.Millisecond)
-			r.NoteCrash(named(fmt.Sprint(n)), "e9", time.Now())
+			r.NoteCrash(fingerprintOf(fmt.Sprint(n)), "e9", time.Now())
 		}
 		Expect(len(r.All())).To(BeNumerically("<=", 4096))
 		Expect(r.Verdict(request).Held).To(BeTrue())
-		Expect(r.Verdict(named("9999")).Crashes).To(Equal(1))
+		Expect(r.Verdict(fingerprintOf("9999")).Crashes).To(Equal(1))
 	}))
 
-	It("comes to the same on all boxes, in whatever order and how often updates come", in(func() {
+	It("reaches the same verdicts on all boxes, in whatever order and however often updates arrive", inBubble(func() {
 		for seed := range uint64(200) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			boxes := []*quarantine.Register{}
@@ -181,7 +182,7 @@
 			var updates []quarantine.Update
 			for range 12 {
 				box := boxes[random.IntN(len(boxes))]
-				f := named(fmt.Sprint(seed, random.IntN(3)))
+				f := fingerprintOf(fmt.Sprint(seed, random.IntN(3)))
 				if random.IntN(5) == 0 {
 					box.NoteAnswered(f)
 				} else {
@@ -201,7 +202,7 @@
 				}
 			}
 			for n := range 3 {
-				f := named(fmt.Sprint(seed, n))
+				f := fingerprintOf(fmt.Sprint(seed, n))
 				want := boxes[0].Verdict(f)
 				for _, box := range boxes[1:] {
 					got := box.Verdict(f)
@@ -212,7 +213,7 @@
 	}))
 })
 
-// older is an update that is under way for longer.
+// older returns an update as it reads after it has been in transit for longer.
 func older(update quarantine.Update, by time.Duration) quarantine.Update {
 	var aged quarantine.Update
 	for _, report := range update.Crashes {
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -2,55 +2,56 @@
 
 import "time"
 
-// Stored is the store's record of a request that is held. It lasts no longer than the request is.
+// Stored is the store's record of a request that is held. It lasts no longer than the hold.
 type Stored struct {
 	// Crashes is how many upstreams crashed in a row under the request.
 	Crashes int `json:"crashes"`
 }
 
-// Restore takes in the store's record of a request. A box that has just started holds it from then on: when the latest
-// upstream crashed is not told, since boxes have no time in common.
+// Restore adds the store's record of a request. If the store has more crashes than this box knows, as when the box
+// has just started, the hold counts from now: the record does not say when the latest upstream crashed, since the
+// clocks of boxes differ.
 func (r *Register) Restore(f Fingerprint, stored Stored) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	known := r.of(f, now)
-	before := known.count()
+	rec := r.recordOf(f, now)
+	before := rec.crashCount()
 	if stored.Crashes <= before {
 		return
 	}
-	known.stored, known.restored = min(stored.Crashes, keptCrashes), now
-	r.noteHeld(f, known, before)
+	rec.storedCrashes, rec.restoredAt = min(stored.Crashes, maxCrashes), now
+	r.reportHeld(f, rec, before)
 }
 
-// HeldRequest is a request that is held.
+// HeldRequest describes a request that is held.
 type HeldRequest struct {
 	Request Fingerprint
 	Stored  Stored
-	// For is how long it still is.
+	// For is how much longer the request is held.
 	For time.Duration
-	// Seen means that this box saw a crash under it itself.
+	// Seen reports whether this box itself saw a crash under the request.
 	Seen bool
-	// KnownFor is for how long this box has known of the latest crash.
+	// KnownFor is how long this box has known of the latest crash.
 	KnownFor time.Duration
 }
 
-// Held lists the requests that are held, but for those that this box knows from the store alone: what it would write would last
-// as long again after each restart.
+// Held lists the requests that are held, except those that are held only by the store's record: if this box wrote
+// these to the store, each restart would extend their records by a whole hold.
 func (r *Register) Held() []HeldRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	var list []HeldRequest
-	for f, known := range r.records {
-		left := known.held(&r.Policy).Sub(now)
-		if len(known.crashes) < r.Policy.PauseAfter || left <= 0 {
+	for f, rec := range r.records {
+		left := rec.heldUntil(&r.Policy).Sub(now)
+		if len(rec.crashes) < r.Policy.PauseAfter || left <= 0 {
 			continue
 		}
-		held := HeldRequest{Request: f, Stored: Stored{Crashes: known.count()}, For: left}
-		for _, c := range known.crashes {
+		held := HeldRequest{Request: f, Stored: Stored{Crashes: rec.crashCount()}, For: left}
+		for _, c := range rec.crashes {
 			held.Seen = held.Seen || c.source == FromSelf
-			held.KnownFor = now.Sub(c.known)
+			held.KnownFor = now.Sub(c.knownSince)
 		}
 		list = append(list, held)
 	}
--- a/pkg/quarantine/update.go
+++ b/pkg/quarantine/update.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Update is what a box tells others of its records.
+// Update holds what a box reports to others of its records.
 type Update struct {
 	Crashes  []CrashReport    `json:"crashes,omitempty"`
 	Answered []AnsweredReport `json:"answered,omitempty"`
 }
 
-// CrashReport is a crash of an upstream, with the requests that were under way there.
+// CrashReport is a crash of an upstream, with how long ago it was and the requests that were in flight there.
 type CrashReport struct {
 	Upstream string        `json:"upstream"`
 	Age      time.Duration `json:"age"`
 	Requests []Fingerprint `json:"requests"`
 }
 
-// AnsweredReport is a request that was answered whole after crashes.
+// AnsweredReport is a request that was answered completely after crashes, with how long ago that was.
 type AnsweredReport struct {
 	Request Fingerprint   `json:"request"`
 	Age     time.Duration `json:"age"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the update has no reports.
 func (u *Update) Empty() bool { return len(u.Crashes) == 0 && len(u.Answered) == 0 }
 
-// Requests are those that the update has news of.
+// Requests returns the requests that the update reports on.
 func (u *Update) Requests() []Fingerprint {
 	var list []Fingerprint
 	for _, report := range u.Crashes {
@@ -36,7 +36,7 @@
 	return list
 }
 
-// TakeChanged returns the requests whose records have news of this box since the last call.
+// TakeChanged returns the requests whose records this box itself has changed since the last call.
 func (r *Register) TakeChanged() []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	return list
 }
 
-// All returns all requests that are known of.
+// All returns all requests that have a record.
 func (r *Register) All() []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,8 @@
 	return list
 }
 
-// Update is what this box knows of some requests. What only the store has told is left out: it tells others as well.
+// Update returns what this box knows of some requests. Crashes known only from the store are left out, because other
+// boxes learn of them from the store too.
 func (r *Register) Update(requests []Fingerprint) Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,48 +75,48 @@
 	var update Update
 	groups := map[group]int{}
 	for _, f := range requests {
-		known := r.records[f]
-		if known == nil {
+		rec := r.records[f]
+		if rec == nil {
 			continue
 		}
-		for _, c := range known.crashes {
+		for _, c := range rec.crashes {
 			key := group{c.upstream, c.at}
-			at, ok := groups[key]
+			index, ok := groups[key]
 			if !ok {
-				at = len(update.Crashes)
-				groups[key] = at
+				index = len(update.Crashes)
+				groups[key] = index
 				update.Crashes = append(update.Crashes, CrashReport{Upstream: c.upstream, Age: now.Sub(c.at)})
 			}
-			update.Crashes[at].Requests = append(update.Crashes[at].Requests, f)
+			update.Crashes[index].Requests = append(update.Crashes[index].Requests, f)
 		}
-		if !known.answered.IsZero() {
-			update.Answered = append(update.Answered, AnsweredReport{Request: f, Age: now.Sub(known.answered)})
+		if !rec.answered.IsZero() {
+			update.Answered = append(update.Answered, AnsweredReport{Request: f, Age: now.Sub(rec.answered)})
 		}
 	}
 	return update
 }
 
-// Take takes in what another box told, and returns the requests that it was news of.
+// Take merges the update of another box into the records, and returns the requests whose records changed.
 func (r *Register) Take(update Update) []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	var news []Fingerprint
+	var changed []Fingerprint
 	for _, report := range update.Answered {
-		if known := r.records[report.Request]; known != nil && known.answer(now.Add(-report.Age)) {
-			news = append(news, report.Request)
+		if rec := r.records[report.Request]; rec != nil && rec.addAnswer(now.Add(-report.Age)) {
+			changed = append(changed, report.Request)
 		}
 	}
 	for _, report := range update.Crashes {
-		if report.Age < 0 || report.Age > memory {
+		if report.Age < 0 || report.Age > recordRetention {
 			continue
 		}
-		c := crash{upstream: report.Upstream, at: now.Add(-report.Age), known: now, source: FromPeer}
+		c := crash{upstream: report.Upstream, at: now.Add(-report.Age), knownSince: now, source: FromPeer}
 		for _, f := range report.Requests {
 			if r.add(f, c) {
-				news = append(news, f)
+				changed = append(changed, f)
 			}
 		}
 	}
-	return news
+	return changed
 }
--- a/pkg/quarantine/verdict.go
+++ b/pkg/quarantine/verdict.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// Verdict is whether a request is held, with what that goes by.
+// Verdict says whether a request is held, and by which crashes. The zero value means that no crash is known.
 type Verdict struct {
-	// Held requests get no upstream before RetryAfter is over.
+	// Held reports whether the request is sent to no upstream until RetryAfter has passed.
 	Held       bool
 	RetryAfter time.Duration
-	// Crashes is how many upstreams crashed in a row under the request, and Upstreams which of them this box knows.
+	// Crashes is how many crashes in a row there were under the request. Upstreams lists those that this box knows.
 	Crashes   int
 	Upstreams []string
-	// Age is how long ago the latest crashed, KnownFor for how long this box has known of it, and Source how it came to.
+	// Age is how long ago the latest crash was, KnownFor how long this box has known of it, and Source how it learned
+	// of it.
 	Age      time.Duration
 	KnownFor time.Duration
 	Source   Source
 }
 
-// Verdict is that on a request now.
+// Verdict returns the verdict on a request at this moment.
 func (r *Register) Verdict(f Fingerprint) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.records[f]
-	if known == nil || known.count() == 0 {
+	rec := r.records[f]
+	if rec == nil || rec.crashCount() == 0 {
 		return Verdict{}
 	}
-	return known.verdict(&r.Policy, time.Now())
+	return rec.verdict(&r.Policy, time.Now())
 }
 
-// verdict is that by a record.
+// verdict returns the verdict by one record.
 func (r *record) verdict(policy *Policy, now time.Time) Verdict {
-	left := r.held(policy).Sub(now)
+	left := r.heldUntil(policy).Sub(now)
 	verdict := Verdict{
-		Held: left > 0, RetryAfter: max(0, left), Crashes: r.count(),
-		Age: now.Sub(r.latest()), KnownFor: now.Sub(r.restored), Source: FromStore,
+		Held: left > 0, RetryAfter: max(0, left), Crashes: r.crashCount(),
+		Age: now.Sub(r.latestCrash()), KnownFor: now.Sub(r.restoredAt), Source: FromStore,
 	}
 	for _, c := range r.crashes {
 		verdict.Upstreams = append(verdict.Upstreams, c.upstream)
-		verdict.KnownFor, verdict.Source = now.Sub(c.known), c.source
+		verdict.KnownFor, verdict.Source = now.Sub(c.knownSince), c.source
 	}
 	return verdict
 }
 
-// Counts is how many requests a register knows of.
+// Counts holds how many requests with crashes a register has.
 type Counts struct {
-	// Suspected requests may be sent; Held ones may not.
+	// Suspected counts requests that may be sent, Held those that may not.
 	Suspected, Held int
 }
 
-// Counts drops the records that are over and counts the others.
+// Counts drops the expired records and counts the others.
 func (r *Register) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.prune(now)
 	var counts Counts
-	for _, known := range r.records {
+	for _, rec := range r.records {
 		switch {
-		case known.count() == 0:
-		case known.held(&r.Policy).After(now):
+		case rec.crashCount() == 0:
+		case rec.heldUntil(&r.Policy).After(now):
 			counts.Held++
 		default:
 			counts.Suspected++
