--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -85,8 +85,8 @@
 	wake chan struct{}
 
 	mu sync.Mutex
-	// contendFrom is the time from which this box may contend for a lease that Observe found free; zero before
-	// Observe finds it free.
+	// contendFrom is the time from which this box may contend for a lease that Observe found free. It is zero before
+	// that, which does not keep a listed box from contending.
 	contendFrom time.Time
 }
 
