--- a/pkg/claims/bench_test.go
+++ b/pkg/claims/bench_test.go
@@ -14,13 +14,13 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// BenchmarkCapacityClaims measures how many writes of the key-value service a claim takes when one box
-// has so many claims under way, with a store that answers in 5 ms.
+// BenchmarkCapacityClaims measures how many reads and writes of the key-value store a claim takes when one box makes
+// so many claims concurrently, with a store that answers in 5 ms.
 //
 //	go test -run '^$' -bench CapacityClaims -benchtime 2000x ./pkg/claims
 func BenchmarkCapacityClaims(b *testing.B) {
-	for _, under := range []int{1, 8, 64} {
-		b.Run(fmt.Sprintf("underway=%d", under), func(b *testing.B) {
+	for _, concurrency := range []int{1, 8, 64} {
+		b.Run(fmt.Sprintf("underway=%d", concurrency), func(b *testing.B) {
 			var writes, reads atomic.Int64
 			store := kv.NewMemory().Store()
 			swap, get := store.Swap, store.Get
@@ -36,9 +36,9 @@
 			}
 			c := claims.New(claims.Config{Store: store})
 			var done sync.WaitGroup
-			for range under {
+			for range concurrency {
 				done.Go(func() {
-					for range max(1, b.N/under) {
+					for range max(1, b.N/concurrency) {
 						key := uuid.Must(uuid.NewV7()).String()
 						if _, err := c.Claim(context.Background(), "acme", key, claimOf(key)); err != nil {
 							b.Error(err)
@@ -47,7 +47,7 @@
 				})
 			}
 			done.Wait()
-			total := float64(max(1, b.N/under) * under)
+			total := float64(max(1, b.N/concurrency) * concurrency)
 			b.ReportMetric(float64(writes.Load())/total, "kvwrites/claim")
 			b.ReportMetric(float64(reads.Load())/total, "kvreads/claim")
 		})
--- a/pkg/claims/claims.go
+++ b/pkg/claims/claims.go
@@ -1,13 +1,12 @@
-// Package claims makes sure that a request which may not be repeated is sent to an upstream at
-// most once.
+// Package claims makes sure that a request which may not be repeated is sent to an upstream at most once.
 //
-// Before such a request is sent, its key is claimed by compare-and-swap in the key-value service,
-// with the upstream chosen. A claimed key is never sent again. Keys are remembered for a window; a
-// key carries its time (UUIDv7), and one from before the window is refused, so that a forgotten
-// claim never means a second run. The package owns the claims and their sweep; it relies on pkg/kv.
+// Before such a request is sent, its key is claimed by compare-and-swap in the key-value store, together with the
+// upstream that was chosen. A request whose key is claimed is never sent again. Claims are kept for a window. A key
+// carries its time (UUIDv7), and a key from before the window is refused, so that a deleted claim never leads to a
+// second run. The package owns the claims and deletes old ones; it relies on pkg/kv.
 //
-// It belongs to the native way, `ospreymoor serve`. On `ospreymoor node` the users' platform has no
-// claims: internal/gateway sends such a request once and repeats it only if it was surely not run.
+// `ospreymoor serve`, the native mode, uses it. For `ospreymoor node` the users' platform has no claims:
+// internal/gateway sends such a request once and repeats it only if it was certainly not run.
 package claims
 
 import (
@@ -23,53 +22,56 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// Kinds of refusal. After each of them the request was not claimed by this call.
+// Errors of Claim. None of them permits the caller to send the request. After each but ErrNotClaimed, the call did
+// not claim the key.
 const (
-	// ErrBadKey means that the key is no UUIDv7.
+	// ErrBadKey reports that the key is not a UUIDv7.
 	ErrBadKey = errors.ConstError("request key is no UUIDv7: make a new one and keep it across retries")
-	// ErrTooOld means that the key's time is before the window: whether it ran is no longer known.
+	// ErrTooOld reports that the key's time is before the window: whether its request ran is no longer known.
 	ErrTooOld = errors.ConstError("request key is older than keys are remembered: find out what became of it, then use a new key")
-	// ErrTooNew means that the key's time is in the future by more than maxSkew.
+	// ErrTooNew reports that the key's time is more than maxSkew in the future.
 	ErrTooNew = errors.ConstError("request key is from the future: set the caller's clock")
-	// ErrOtherRequest means that the key was used for a request with another digest.
+	// ErrOtherRequest reports that the key was used for a request with another digest.
 	ErrOtherRequest = errors.ConstError("request key was used for another request: use a new key for each request")
-	// ErrFull means that the document of the key's minute has no room.
+	// ErrFull reports that the document for the key, one of those of the key's minute, has no room.
 	ErrFull = errors.ConstError("too many requests of this moment: use a new key a minute later")
-	// ErrNotClaimed means that the key-value service did not confirm the claim in time.
+	// ErrNotClaimed reports that the key-value store did not confirm the claim in time.
 	ErrNotClaimed = errors.ConstError("request could not be claimed: come back with the same key")
 )
 
 // Claim records where a request was sent.
 type Claim struct {
-	// Digest of the request; the same key with another digest is refused.
+	// Digest is that of the request. The same key with another digest is refused.
 	Digest string `json:"d"`
-	// Upstream that the request goes to.
+	// Upstream is the one that the request is sent to.
 	Upstream string `json:"u"`
-	// RequestID is its id at the upstream.
+	// RequestID is the request's ID at the upstream.
 	RequestID string `json:"r"`
-	// Incarnation of the upstream as it was known then; empty for plain services.
+	// Incarnation is that of the upstream when the claim was made; empty for plain services.
 	Incarnation string `json:"i,omitempty"`
 	// Box is the peer address of the box that sends it.
 	Box string `json:"b"`
 }
 
-// Config sets where and how long claims are kept.
+// Config says where and for how long claims are kept.
 type Config struct {
 	Store kv.Store
-	// Window is the time for which a key is remembered; 0 takes an hour.
+	// Window is for how long after its time a key is accepted, and for how long its claim is kept at least; 0 means an
+	// hour.
 	Window time.Duration
 }
 
 const (
-	// defaultWindow is Config.Window if it is 0: 1 h.
+	// defaultWindow is used if Config.Window is 0.
 	defaultWindow = time.Hour
-	// maxSkew is the time that a caller's clock may be ahead: 1 min.
+	// maxSkew is how far a caller's clock may be ahead.
 	maxSkew = time.Minute
-	// callTimeout bounds one call of Claim, Lookup or Release: 2 s.
+	// callTimeout limits one call of Claim, Lookup or Release, and one write of a batch of claims.
 	callTimeout = 2 * time.Second
 )
 
-// Claims claims keys; claims of one document that come together share a write.
+// Claims claims keys in the store. Claims that arrive for one document while it is being written share the next
+// write.
 type Claims struct {
 	config Config
 
@@ -77,7 +79,7 @@
 	queues map[string]*queue
 }
 
-// New returns the claims that are kept in config.Store.
+// New returns a Claims that keeps its claims in config.Store.
 func New(config Config) *Claims {
 	if config.Window == 0 {
 		config.Window = defaultWindow
@@ -85,9 +87,9 @@
 	return &Claims{config: config, queues: map[string]*queue{}}
 }
 
-// Claim claims a customer's key. It returns the claim in force: the caller may send the
-// request if and only if the claim's RequestID is its own. After an error the caller may not send
-// it; ErrNotClaimed leaves open whether the claim is in force.
+// Claim claims a customer's key and returns the claim in force. The caller may send the request if and only if that
+// claim has the RequestID that the caller passed. After an error the caller may not send it. After ErrNotClaimed it
+// is unknown whether the caller's claim is in force.
 func (c *Claims) Claim(ctx context.Context, customer, key string, claim Claim) (Claim, error) {
 	bucket, err := c.checkedBucket(key)
 	if err != nil {
@@ -100,14 +102,14 @@
 	c.enqueue(bucket, documentKey(bucket, name), p)
 	select {
 	case r := <-p.done:
-		return c.standing(ctx, r, claim)
+		return c.checkResult(ctx, r, claim)
 	case <-ctx.Done():
 		return Claim{}, fmt.Errorf("%w: %w", errors.Annotatef(ctx.Err(), "claiming %s", key), ErrNotClaimed)
 	}
 }
 
-// Lookup returns the claim of a customer's key, false if there is none. After ErrBadKey, ErrTooOld,
-// ErrTooNew or an error of the store it is open whether there is one.
+// Lookup returns the claim of a customer's key, and false if there is none. After ErrBadKey, ErrTooOld, ErrTooNew or
+// an error of the store it is unknown whether there is one.
 func (c *Claims) Lookup(ctx context.Context, customer, key string) (Claim, bool, error) {
 	bucket, err := c.checkedBucket(key)
 	if err != nil {
@@ -124,8 +126,8 @@
 	return claim, ok, nil
 }
 
-// Release frees a key whose request was certainly not run and can't run any more under its id.
-// A claim that is gone already is no error.
+// Release deletes the claim of a key if it has the given request ID. Call it only if the request certainly was not
+// run and can no longer run under that ID. It returns no error if the claim is gone already.
 func (c *Claims) Release(ctx context.Context, customer, key, requestID string) error {
 	bucket, err := c.checkedBucket(key)
 	if err != nil {
@@ -136,24 +138,24 @@
 	name := customer + "/" + key
 	_, err = kv.UpdateDocument(ctx, c.config.Store, documentKey(bucket, name), func(body shard) (shard, error) {
 		if !body.Made || body.Claims[name].RequestID != requestID {
-			return body, errors.Annotatef(errReleased, "releasing %s", key)
+			return body, errors.Annotatef(errNothingToRelease, "releasing %s", key)
 		}
 		next := shard{Made: true, Claims: maps.Clone(body.Claims)}
 		delete(next.Claims, name)
 		return next, nil
 	})
-	if errors.Is(err, errReleased) {
+	if errors.Is(err, errNothingToRelease) {
 		return nil
 	}
 	return err
 }
 
-// errReleased ends a release that has nothing to do.
-const errReleased = errors.ConstError("claim is gone already")
+// errNothingToRelease ends the update in Release if the claim is gone already.
+const errNothingToRelease = errors.ConstError("claim is gone already")
 
-// standing turns the result of a write into the caller's. A result that comes too late, as after
-// a freeze of this process, permits nothing: the key may have been forgotten in the meantime.
-func (c *Claims) standing(ctx context.Context, r result, own Claim) (Claim, error) {
+// checkResult turns the result of a write into the one of Claim. A result that arrives after the deadline, as when
+// this process was frozen, is an error: the claim may have been deleted in the meantime.
+func (c *Claims) checkResult(ctx context.Context, r result, own Claim) (Claim, error) {
 	if r.err != nil {
 		return Claim{}, r.err
 	}
@@ -166,7 +168,7 @@
 	return r.claim, nil
 }
 
-// checkedBucket checks a key's form and age and returns the bucket of its time.
+// checkedBucket checks the form and age of a key and returns the bucket of its time.
 func (c *Claims) checkedBucket(key string) (int64, error) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -18,8 +18,8 @@
 
 func TestClaims(t *testing.T) { spectest.Run(t, "Claims") }
 
-// keyNow makes a UUIDv7 of the bubble's time.
-func keyNow() string {
+// newKey returns a UUIDv7 with the time of the bubble's clock.
+func newKey() string {
 	id := uuid.New()
 	millis := uint64(time.Now().UnixMilli())
 	for i := range 6 {
@@ -29,12 +29,13 @@
 	return id.String()
 }
 
+// claimOf returns a claim that a box makes, with the box's name as request ID.
 func claimOf(box string) claims.Claim {
 	return claims.Claim{Digest: "d", Upstream: "e", RequestID: box, Box: box}
 }
 
 var _ = Describe("Claims", func() {
-	It("of many callers at once give each key to one, and share writes", func() {
+	It("give each key to one of many concurrent callers, and share writes", func() {
 		spectest.Bubble(func() {
 			writes := 0
 			var mu sync.Mutex
@@ -48,80 +49,81 @@
 				return swap(ctx, s)
 			}
 			boxes := []*claims.Claims{claims.New(claims.Config{Store: store}), claims.New(claims.Config{Store: store})}
-			key := keyNow()
-			got := map[string]int{}
+			key := newKey()
+			winners := map[string]int{}
 			var callers sync.WaitGroup
 			for caller := range 100 {
 				callers.Go(func() {
 					own := claimOf(fmt.Sprint(caller))
 					name := key
 					if caller >= 20 {
-						name = keyNow()
+						name = newKey()
 					}
-					stands, err := boxes[caller%2].Claim(context.Background(), "acme", name, own)
+					inForce, err := boxes[caller%2].Claim(context.Background(), "acme", name, own)
 					Expect(err).NotTo(HaveOccurred())
 					mu.Lock()
 					defer mu.Unlock()
-					if stands.RequestID == own.RequestID {
-						got[name]++
+					if inForce.RequestID == own.RequestID {
+						winners[name]++
 					}
 				})
 			}
 			callers.Wait()
-			Expect(got).To(HaveLen(81))
-			Expect(got).To(HaveEach(1))
+			Expect(winners).To(HaveLen(81))
+			Expect(winners).To(HaveEach(1))
 			Expect(writes).To(BeNumerically("<", 40))
 		})
 	})
 
-	It("keep one customer's key from another's, and from another request", func() {
+	It("keep the same key of two customers apart, and refuse a key that was used for another request", func() {
 		spectest.Bubble(func() {
 			c := claims.New(claims.Config{Store: kv.NewMemory().Store()})
-			key := keyNow()
+			key := newKey()
 			for _, customer := range []string{"acme", "other"} {
-				stands, err := c.Claim(context.Background(), customer, key, claimOf(customer))
+				inForce, err := c.Claim(context.Background(), customer, key, claimOf(customer))
 				Expect(err).NotTo(HaveOccurred())
-				Expect(stands.RequestID).To(Equal(customer))
+				Expect(inForce.RequestID).To(Equal(customer))
 			}
-			changed := claimOf("acme")
-			changed.Digest = "another body"
-			_, err := c.Claim(context.Background(), "acme", key, changed)
+			otherRequest := claimOf("acme")
+			otherRequest.Digest = "another body"
+			_, err := c.Claim(context.Background(), "acme", key, otherRequest)
 			Expect(err).To(MatchError(claims.ErrOtherRequest))
 		})
 	})
 
-	// forgottenThen claims a key, lets it be forgotten, and has a box whose clock is far behind
-	// (its window seems long) claim it again.
-	forgottenThen := func(guard bool) error {
+	// claimAgainAfterSweeps claims a key and runs sweeps until the claim is deleted. Then it has a box claim the key
+	// again that accepts old keys for long, as one whose clock is far behind would. Without guard, this box reads no
+	// floor.
+	claimAgainAfterSweeps := func(guard bool) error {
 		var err error
 		spectest.Bubble(func() {
 			store := kv.NewMemory().Store()
-			floorless := store
-			floorless.Get = func(ctx context.Context, key string) (kv.Record, error) {
+			behindStore := store
+			behindStore.Get = func(ctx context.Context, key string) (kv.Record, error) {
 				if key == "claims-floor" && !guard {
 					return kv.Record{}, kv.ErrNotFound
 				}
 				return store.Get(ctx, key)
 			}
-			right := claims.New(claims.Config{Store: store, Window: 2 * time.Minute})
-			behind := claims.New(claims.Config{Store: floorless, Window: 24 * time.Hour})
-			key := keyNow()
-			_, first := right.Claim(context.Background(), "acme", key, claimOf("first"))
+			current := claims.New(claims.Config{Store: store, Window: 2 * time.Minute})
+			behind := claims.New(claims.Config{Store: behindStore, Window: 24 * time.Hour})
+			key := newKey()
+			_, first := current.Claim(context.Background(), "acme", key, claimOf("first"))
 			Expect(first).NotTo(HaveOccurred())
 			for range 12 {
 				time.Sleep(time.Minute)
-				Expect(right.Sweep(context.Background())).To(Succeed())
+				Expect(current.Sweep(context.Background())).To(Succeed())
 			}
 			_, err = behind.Claim(context.Background(), "acme", key, claimOf("second"))
 		})
 		return err
 	}
 
-	It("that were forgotten are refused, also by a box whose clock is behind", func() {
-		Expect(forgottenThen(true)).To(MatchError(claims.ErrTooOld))
+	It("refuse a key whose claim was deleted, also on a box whose clock is behind", func() {
+		Expect(claimAgainAfterSweeps(true)).To(MatchError(claims.ErrTooOld))
 	})
 
-	It("that were forgotten would be given again without the floor (guard off)", func() {
-		Expect(forgottenThen(false)).To(Succeed())
+	It("would claim a key again after its claim was deleted if the floor were not read (guard off)", func() {
+		Expect(claimAgainAfterSweeps(false)).To(Succeed())
 	})
 })
--- a/pkg/claims/shards.go
+++ b/pkg/claims/shards.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// bucketSpan is the span of key times that share documents: 1 min.
+	// bucketSpan is the length of a bucket: keys whose times fall into the same span share its documents.
 	bucketSpan = time.Minute
-	// shardsPerBucket is the number of documents of one bucket: 4.
+	// shardsPerBucket is the number of documents of one bucket.
 	shardsPerBucket = 4
-	// maxShardClaims keeps a document below kv.MaxValueBytes, bound of the platform: 4000 claims leave
-	// 262 bytes for each.
+	// maxShardClaims keeps a document below kv.MaxValueBytes, the platform's limit: 4000 claims leave 262 bytes for
+	// each.
 	maxShardClaims = 4000
 )
 
@@ -28,11 +28,11 @@
 	Claims map[string]Claim `json:"claims"`
 }
 
-// queue collects claims while an earlier write of the same document is under way, so that they
-// share the next one.
+// queue collects claims for one document while an earlier write of it is in progress, so that they share the next
+// write.
 type queue struct {
 	waiting []*pending
-	busy    bool
+	writing bool
 }
 
 // pending is one claim that waits for its write.
@@ -47,7 +47,7 @@
 	err   error
 }
 
-// enqueue adds a claim to its document's batch and starts a writer if none is at work.
+// enqueue adds a claim to its document's queue and starts a writer if none is running.
 func (c *Claims) enqueue(bucket int64, key string, p *pending) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,32 +57,33 @@
 		c.queues[key] = q
 	}
 	q.waiting = append(q.waiting, p)
-	if !q.busy {
-		q.busy = true
+	if !q.writing {
+		q.writing = true
 		go c.writeBatches(bucket, key, q)
 	}
 }
 
-// writeBatches commits what waits for one document, batch after batch, until nothing waits.
+// writeBatches commits the claims that wait for one document, batch after batch, until none is left.
 func (c *Claims) writeBatches(bucket int64, key string, q *queue) {
 	for {
 		c.mu.Lock()
-		group := q.waiting
+		batch := q.waiting
 		q.waiting = nil
-		if len(group) == 0 {
-			q.busy = false
+		if len(batch) == 0 {
+			q.writing = false
 			delete(c.queues, key)
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Unlock()
-		c.commit(bucket, key, group)
+		c.commit(bucket, key, batch)
 	}
 }
 
-// commit writes a group of claims with one swap and hands each the claim in force. A shard is
-// made only above the floor. Of other causes than ErrTooOld and ErrFull only the text goes on.
-func (c *Claims) commit(bucket int64, key string, group []*pending) {
+// commit writes a batch of claims with one swap and sends each the claim in force. A missing shard is created only if
+// its bucket is not below the floor. Errors other than ErrTooOld and ErrFull become ErrNotClaimed; of their cause
+// only the text is kept.
+func (c *Claims) commit(bucket int64, key string, batch []*pending) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	document, err := kv.UpdateDocument(ctx, c.config.Store, key, func(body shard) (shard, error) {
@@ -91,24 +92,24 @@
 				return body, err
 			}
 		}
-		return body.withClaims(group)
+		return body.withClaims(batch)
 	})
 	if err != nil && !errors.Is(err, ErrTooOld) && !errors.Is(err, ErrFull) {
 		err = fmt.Errorf("%v: %w", err, ErrNotClaimed)
 	}
-	for _, p := range group {
+	for _, p := range batch {
 		p.done <- result{claim: document.Body.Claims[p.name], err: err}
 	}
 }
 
-// withClaims adds the claims of a group whose names are free. If they do not fit, all of the group
-// are refused.
-func (s shard) withClaims(group []*pending) (shard, error) {
-	next := shard{Made: true, Claims: make(map[string]Claim, len(s.Claims)+len(group))}
+// withClaims returns the shard with the claims of a batch added whose names are free. If they do not fit, the whole
+// batch is refused.
+func (s shard) withClaims(batch []*pending) (shard, error) {
+	next := shard{Made: true, Claims: make(map[string]Claim, len(s.Claims)+len(batch))}
 	for name, claim := range s.Claims {
 		next.Claims[name] = claim
 	}
-	for _, p := range group {
+	for _, p := range batch {
 		if _, taken := next.Claims[p.name]; !taken {
 			next.Claims[p.name] = p.claim
 		}
--- a/pkg/claims/sweep.go
+++ b/pkg/claims/sweep.go
@@ -9,22 +9,23 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// floorKey is the key of the floor in the key-value service.
+// floorKey is the key of the floor in the key-value store.
 const floorKey = "claims-floor"
 
-// windowsKept is the number of windows for which a claim is kept, so that boxes whose clocks
-// differ by up to one window do no harm: 2.
-const windowsKept = 2
+// retentionWindows is the number of windows for which a claim is kept. With 2, boxes whose clocks differ by up to one
+// window do no harm.
+const retentionWindows = 2
 
-// floor records which buckets are forgotten, by their numbers.
+// floor is the stored state of sweeps: which buckets, by their numbers, may have been deleted.
 type floor struct {
-	// Bucket is the oldest that may be made; older ones may be gone.
+	// Bucket is the oldest bucket whose documents may be created; those of older ones may have been deleted.
 	Bucket int64 `json:"bucket"`
-	// Swept is the oldest that may still be in the store.
+	// Swept is the oldest bucket that may still be in the store.
 	Swept int64 `json:"swept"`
 }
 
-// checkFloor returns ErrTooOld for a bucket that was forgotten and so may not be made anew.
+// checkFloor returns ErrTooOld for a bucket below the floor: its documents may have been deleted, so none of them may
+// be created again.
 func (c *Claims) checkFloor(ctx context.Context, bucket int64) error {
 	f, err := kv.ReadDocument[floor](ctx, c.config.Store, floorKey)
 	if err != nil {
@@ -36,21 +37,21 @@
 	return nil
 }
 
-// Sweep deletes claims older than windowsKept windows. It deletes only what is below the floor of
-// the sweep before and then raises the floor, because a claim under way may have read that floor.
-// Sweeps must be a minute or more apart, far above callTimeout. After an error the next sweep
-// goes on from the same bucket.
+// Sweep deletes claims older than retentionWindows windows. It deletes only buckets below the floor that the previous
+// sweep set, and then raises the floor: a call of Claim in progress may still go by the floor that it read earlier.
+// Sweeps must be at least a minute apart, which is far longer than callTimeout. After an error the next sweep
+// continues at the same bucket.
 func (c *Claims) Sweep(ctx context.Context) error {
-	keep := bucketOf(time.Now().Add(-windowsKept * c.config.Window))
-	old, err := kv.ReadDocument[floor](ctx, c.config.Store, floorKey)
+	keep := bucketOf(time.Now().Add(-retentionWindows * c.config.Window))
+	before, err := kv.ReadDocument[floor](ctx, c.config.Store, floorKey)
 	if err != nil {
 		return err
 	}
-	swept := old.Body.Swept
-	if old.Revision == 0 {
+	swept := before.Body.Swept
+	if before.Revision == 0 {
 		swept = keep
 	}
-	for ; swept < old.Body.Bucket; swept++ {
+	for ; swept < before.Body.Bucket; swept++ {
 		if err := c.deleteBucket(ctx, swept); err != nil {
 			return err
 		}
