--- a/pkg/records/records.go
+++ b/pkg/records/records.go
@@ -1,11 +1,11 @@
-// Package records keeps the latest generation of each record that boxes share.
+// Package records caches the latest generation of each record that boxes share.
 //
-// A record comes from the platform or from a peer; the highest generation wins, wherever it
-// came from, so that what a box holds never goes back. Everything here is soft state: it is lost
-// with the process. The package owns the comparison of generations; it relies on nothing.
+// A record comes from the platform or from a peer. The highest generation wins, wherever it came from, so a box never
+// goes back to an older one. The cache is soft state: it is lost with the process. The package owns the comparison of
+// generations and relies on no other package.
 //
-// It belongs to the native way, `ospreymoor serve`, where boxes fetch records from each other as
-// well as from the store. On `ospreymoor node`, pkg/mirror keeps a copy of the store's keys instead.
+// `ospreymoor serve`, the native mode, uses it: boxes fetch records from each other as well as from the store. In
+// `ospreymoor node`, pkg/mirror keeps a copy of the store's keys instead.
 package records
 
 import (
@@ -13,9 +13,9 @@
 	"sync"
 )
 
-// Generation orders the values of one record: by Term, then by Sequence.
-// For a record of the store, Term is its revision and Sequence is 0. For one that a hall's
-// controller publishes, Term is that of its lease and Sequence counts within it.
+// Generation orders the values of one record, by Term and then by Sequence. For a record of the store, Term is its
+// revision and Sequence is 0. For a record that a hall's controller publishes, Term is that of the controller's lease
+// and Sequence counts within it.
 type Generation struct {
 	Term     int64 `json:"t"`
 	Sequence int64 `json:"s,omitempty"`
@@ -29,18 +29,18 @@
 	return g.Sequence < other.Sequence
 }
 
-// Record is one value of one name.
+// Record is a named value in one generation.
 type Record struct {
 	Name       string          `json:"name"`
 	Generation Generation      `json:"generation"`
 	Value      json.RawMessage `json:"value"`
 }
 
-// Cache holds each record in its highest generation. It is safe for concurrent use.
+// Cache holds the highest generation seen of each record. It is safe for concurrent use.
 type Cache struct {
-	mu      sync.Mutex
-	records map[string]Record
-	subs    []func(Record)
+	mu          sync.Mutex
+	records     map[string]Record
+	subscribers []func(Record)
 }
 
 // NewCache returns an empty cache.
@@ -48,15 +48,15 @@
 	return &Cache{records: map[string]Record{}}
 }
 
-// Subscribe has f called with each record that is taken in. Call it before the first Put.
-// f runs under no lock, and two calls for one name may come out of order: f must use Get.
+// Subscribe registers f to be called with each record that Put stores. Call Subscribe before the first Put. f runs
+// without the lock, and two calls for one name may come out of order, so f must get the current record with Get.
 func (c *Cache) Subscribe(f func(Record)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.subs = append(c.subs, f)
+	c.subscribers = append(c.subscribers, f)
 }
 
-// Put takes a record in if its generation is above the one held, and reports whether it was.
+// Put stores a record if its generation is above the one held, and reports whether it did.
 func (c *Cache) Put(record Record) bool {
 	c.mu.Lock()
 	old, ok := c.records[record.Name]
@@ -65,15 +65,15 @@
 		return false
 	}
 	c.records[record.Name] = record
-	subs := c.subs
+	subscribers := c.subscribers
 	c.mu.Unlock()
-	for _, f := range subs {
+	for _, f := range subscribers {
 		f(record)
 	}
 	return true
 }
 
-// Get returns the record of a name, false if there is none.
+// Get returns the record of a name, and false if there is none.
 func (c *Cache) Get(name string) (Record, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	return record, ok
 }
 
-// Generations returns the generations held of the names that keep accepts.
+// Generations returns the generations of the records whose names keep accepts.
 func (c *Cache) Generations(keep func(name string) bool) map[string]Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	return generations
 }
 
-// Behind lists the names of which others hold a newer generation than this cache.
+// Behind lists the names in others whose generation is newer than the one in this cache, or that this cache lacks.
 func (c *Cache) Behind(others map[string]Generation) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +108,7 @@
 	return names
 }
 
-// Forget drops records that keep rejects, such as bundle texts out of force.
+// Forget drops the records whose names keep rejects, such as texts of bundles that are no longer in force.
 func (c *Cache) Forget(keep func(name string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
