--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// Against is what a request sent to an upstream at this moment would disregard.
-type Against struct {
+// Restrictions is what a request sent to an upstream at this moment would disregard.
+type Restrictions struct {
 	// LeavingFor is how long this box has known that the upstream is leaving; 0 if it does not.
 	LeavingFor time.Duration
 	// RestLeft is the remaining time of the backoff that it asked for; 0 if it asked for none or that
@@ -249,15 +249,15 @@
 }
 
 // Against returns what a request sent to an upstream now would disregard.
-func (d *Directory) Against(id string) Against {
+func (d *Directory) Against(id string) Restrictions {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	known, ok := d.notices[id]
 	if !ok {
-		return Against{}
+		return Restrictions{}
 	}
 	now := time.Now()
-	against := Against{RestLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
+	against := Restrictions{RestLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
 	if !known.leavingAt.IsZero() {
 		against.LeavingFor = max(1, now.Sub(known.leavingAt))
 	}
@@ -266,7 +266,7 @@
 
 // Any reports whether the request would disregard anything. A limit does not count, since it allows
 // some requests.
-func (a Against) Any() bool { return a.LeavingFor > 0 || a.RestLeft > 0 }
+func (a Restrictions) Any() bool { return a.LeavingFor > 0 || a.RestLeft > 0 }
 
 // noticeRetention is how long the notices of an upstream are kept while no list has it. After an outage
 // of the store, its list may lack entries that come back later; after that time an id is not seen
