--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -12,7 +12,7 @@
 // logSentAgainstNotice counts and logs a request that is sent although answers of its upstream gave notice that it
 // leaves, wants a backoff or limits its requests.
 func (r *inflight) logSentAgainstNotice(choice dispatch.Choice) {
-	against := r.gateway.Directory.Against(choice.Upstream.ID)
+	against := r.gateway.Directory.Restrictions(choice.Upstream.ID)
 	if against.Limit.Named() {
 		r.logSentToLimited(choice, against.Limit)
 	}
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -248,8 +248,8 @@
 	Limit Limit
 }
 
-// Against returns what a request sent to an upstream now would disregard.
-func (d *Directory) Against(id string) Restrictions {
+// Restrictions returns what a request sent to an upstream now would disregard.
+func (d *Directory) Restrictions(id string) Restrictions {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	known, ok := d.notices[id]
