--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -82,7 +82,7 @@
 		r.logAttempt(choice, answer.Status, took, nil)
 		directory.MarkMissing(id, r.need.Model, r.need.Adapter)
 	case outcomeNotExecuted:
-		if r.endpoint.AskedForRest() {
+		if r.endpoint.AskedForBackoff() {
 			// Boxes tell each other of failures, so that boxes that have not sent to this upstream yet prefer others. In a
 			// replay in internal/node with 60 boxes and 90 engines, of which 23 reject all requests for 6 s, 551 of 15,120
 			// requests were not served without this.
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// AskedForRest reports whether the answer asked for a backoff.
-func (e *Endpoint) AskedForRest() bool { return e.backoffAsked }
+// AskedForBackoff reports whether the answer asked for a backoff.
+func (e *Endpoint) AskedForBackoff() bool { return e.backoffAsked }
 
 // End ends the attempt, whether it was answered or not.
 func (e *Endpoint) End() {
