--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -44,7 +44,7 @@
 	e.applyUpdates(received, now)
 	e.crashes.receive(received.From.Name, e.Members.Large(), received.Crashes)
 	e.applyState(received, now)
-	e.Directory.NoteLeaving(received.LeavingUpstreams)
+	e.Directory.RecordLeaving(received.LeavingUpstreams)
 	e.limits.receive(received.From.Name, e.Members.Large(), received.Limits)
 	if behind := e.behind(received); behind || len(e.Mirror.Missing()) > 0 {
 		go e.fetch(ctx, received.From.Address, behind)
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -227,9 +227,9 @@
 	return ids
 }
 
-// NoteLeaving records which upstreams are leaving by what answers stated to another box. It skips those
+// RecordLeaving records which upstreams are leaving by what answers stated to another box. It skips those
 // that this box does not know: the other box reports them again.
-func (d *Directory) NoteLeaving(ids []string) {
+func (d *Directory) RecordLeaving(ids []string) {
 	for _, id := range ids {
 		if state := d.Get(id); state != nil && !state.Leaving {
 			d.Note(id, Notice{Leaving: true, Source: SourceBox})
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -99,7 +99,7 @@
 			var noted []Noted
 			other.OnNotice = func(n Noted) { noted = append(noted, n) }
 			for range 3 {
-				other.NoteLeaving([]string{"a", "unknown"})
+				other.RecordLeaving([]string{"a", "unknown"})
 			}
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Source).To(Equal(SourceBox))
