--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -38,7 +38,7 @@
 
 // receive applies reports from a box and, in a large fleet, forwards those that are new.
 func (l *limitBroadcasts) receive(from string, large bool, reports []fleet.LimitReport) {
-	if changed := l.Directory.NoteLimits(reports); large {
+	if changed := l.Directory.ApplyLimitReports(reports); large {
 		l.forward(from, changed)
 	}
 }
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -40,7 +40,7 @@
 		grant, err = r.askBox(ctx, r.Members.hallKeeper(), ask)
 	}
 	if err == nil && grant.Limit != nil {
-		r.Directory.NoteLimits([]fleet.LimitReport{*grant.Limit})
+		r.Directory.ApplyLimitReports([]fleet.LimitReport{*grant.Limit})
 	}
 	return grant, err
 }
@@ -57,7 +57,7 @@
 // knows.
 func (r *Rates) answer(_ context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
 	if ask.Limit != nil {
-		r.Directory.NoteLimits([]fleet.LimitReport{*ask.Limit})
+		r.Directory.ApplyLimitReports([]fleet.LimitReport{*ask.Limit})
 	}
 	known := r.Directory.LimitReports([]string{ask.Engine})
 	if len(known) > 0 {
--- a/pkg/fleet/limit.go
+++ b/pkg/fleet/limit.go
@@ -89,10 +89,10 @@
 	delete(d.deferredUntil, id)
 }
 
-// NoteLimits applies what another box reported, and returns the upstreams whose limits changed. It
+// ApplyLimitReports applies what another box reported, and returns the upstreams whose limits changed. It
 // skips upstreams that this box does not list. Where a report is older than what this box knows and
 // differs from it, this box reports that upstream's limit to the others again.
-func (d *Directory) NoteLimits(reports []LimitReport) (changed []string) {
+func (d *Directory) ApplyLimitReports(reports []LimitReport) (changed []string) {
 	now := time.Now()
 	for _, report := range reports {
 		if d.applyLimitReport(report, now) {
