--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -130,7 +130,7 @@
 	case r.gateway.Directory.Unavailable(state.ID, r.need.Model, r.need.Adapter):
 		return unreachable
 	}
-	if until, inBackoff := r.gateway.Directory.Resting(state.ID); inBackoff {
+	if until, inBackoff := r.gateway.Directory.InBackoff(state.ID); inBackoff {
 		r.deferredUpstreams.add(state.ID, until)
 		return deferred
 	}
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -127,7 +127,7 @@
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Rest: asked})).To(Succeed())
-			until, _ := d.Resting("a")
+			until, _ := d.InBackoff("a")
 			Expect(time.Until(until)).To(BeNumerically("<=", d.Rests.Max))
 			time.Sleep(d.Rests.Max)
 			Expect(send(d, "a", Notice{})).To(Succeed())
--- a/pkg/fleet/rest.go
+++ b/pkg/fleet/rest.go
@@ -85,10 +85,10 @@
 	d.notices[id] = known
 }
 
-// Resting reports whether this box must send no request to an upstream that asked for a backoff, and
+// InBackoff reports whether this box must send no request to an upstream that asked for a backoff, and
 // returns the end of the backoff. An end that has passed means that the upstream takes only few
 // requests at a time.
-func (d *Directory) Resting(id string) (until time.Time, resting bool) {
+func (d *Directory) InBackoff(id string) (until time.Time, resting bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	known, ok := d.notices[id]
--- a/pkg/residency/permission.go
+++ b/pkg/residency/permission.go
@@ -31,7 +31,7 @@
 // takesOrders reports whether the engine may be sent orders now: it has no cooldown after a failure, did not
 // ask for a backoff, and mayBegin. The caller holds the lock.
 func (e *engine) takesOrders(now time.Time) bool {
-	_, inBackoff := e.controller.Directory.Resting(e.id)
+	_, inBackoff := e.controller.Directory.InBackoff(e.id)
 	return !inBackoff && now.After(e.deferral.cooldownUntil) && e.mayBegin()
 }
 
