--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -72,7 +72,7 @@
 	}
 	r.gateway.countRateAsk(bound, grant.Granted)
 	if !grant.Granted {
-		r.gateway.Directory.HoldBack(id, now.Add(grant.Wait))
+		r.gateway.Directory.DeferUntil(id, now.Add(grant.Wait))
 		return false
 	}
 	r.rate.grant = rateGrant{upstream: id, at: now}
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -80,7 +80,7 @@
 		spectest.Bubble(func() {
 			d := listed(time.Minute)
 			until := time.Now().Add(time.Second)
-			d.HoldBack("a", until)
+			d.DeferUntil("a", until)
 			Expect(d.RateBound("a", coldStart).HeldUntil).To(Equal(until))
 			d.SetList(2, nil, time.Now())
 			time.Sleep(lapseGrace + time.Second)
--- a/pkg/fleet/limit_test.go
+++ b/pkg/fleet/limit_test.go
@@ -72,7 +72,7 @@
 			d := listed()
 			deferred := func() bool { return d.RateBound("a", 0).HeldUntil.After(time.Now()) }
 			answered(d, time.Millisecond, limit(1))
-			d.HoldBack("a", time.Now().Add(time.Second))
+			d.DeferUntil("a", time.Now().Add(time.Second))
 			Expect(deferred()).To(BeTrue())
 			answered(d, time.Millisecond, limit(1))
 			Expect(deferred()).To(BeTrue())
--- a/pkg/fleet/ratebound.go
+++ b/pkg/fleet/ratebound.go
@@ -28,9 +28,9 @@
 	return bound
 }
 
-// HoldBack defers this box's requests to a rate-bounded upstream until the time that the upstream's
+// DeferUntil defers this box's requests to a rate-bounded upstream until the time that the upstream's
 // keeper named. The keeper is the box that grants the requests of all boxes to it.
-func (d *Directory) HoldBack(id string, until time.Time) {
+func (d *Directory) DeferUntil(id string, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deferredUntil[id] = until
