--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -43,8 +43,8 @@
 	switch {
 	case !bound.Any():
 		return bound, time.Time{}
-	case bound.HeldUntil.After(now):
-		return bound, bound.HeldUntil
+	case bound.DeferredUntil.After(now):
+		return bound, bound.DeferredUntil
 	case r.rate.asked >= maxRateAsks:
 		return bound, now.Add(directoryPoll)
 	}
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -81,7 +81,7 @@
 			d := listed(time.Minute)
 			until := time.Now().Add(time.Second)
 			d.DeferUntil("a", until)
-			Expect(d.RateBound("a", coldStart).HeldUntil).To(Equal(until))
+			Expect(d.RateBound("a", coldStart).DeferredUntil).To(Equal(until))
 			d.SetList(2, nil, time.Now())
 			time.Sleep(lapseGrace + time.Second)
 			d.DropLapsed()
--- a/pkg/fleet/limit_test.go
+++ b/pkg/fleet/limit_test.go
@@ -70,7 +70,7 @@
 	It("ends the deferral of requests when it changes", func() {
 		spectest.Bubble(func() {
 			d := listed()
-			deferred := func() bool { return d.RateBound("a", 0).HeldUntil.After(time.Now()) }
+			deferred := func() bool { return d.RateBound("a", 0).DeferredUntil.After(time.Now()) }
 			answered(d, time.Millisecond, limit(1))
 			d.DeferUntil("a", time.Now().Add(time.Second))
 			Expect(deferred()).To(BeTrue())
--- a/pkg/fleet/ratebound.go
+++ b/pkg/fleet/ratebound.go
@@ -8,9 +8,9 @@
 	Cold bool
 	// Limit is the rate limit that the upstream names.
 	Limit Limit
-	// HeldUntil is until when this box must not ask to send there; it may ask if the time is zero or
+	// DeferredUntil is until when this box must not ask to send there; it may ask if the time is zero or
 	// has passed.
-	HeldUntil time.Time
+	DeferredUntil time.Time
 }
 
 // Any reports whether the rate is bounded.
@@ -23,7 +23,7 @@
 	defer d.mu.RUnlock()
 	bound := RateBound{Cold: d.isCold(id, coldStart), Limit: d.notices[id].limit}
 	if bound.Any() {
-		bound.HeldUntil = d.deferredUntil[id]
+		bound.DeferredUntil = d.deferredUntil[id]
 	}
 	return bound
 }
