--- a/pkg/residency/engine.go
+++ b/pkg/residency/engine.go
@@ -102,7 +102,7 @@
 	e.publishing.Lock()
 	defer e.publishing.Unlock()
 	next := e.residency()
-	if next.Sequence == 0 && !c.Directory.Tells(e.id, next) {
+	if next.Sequence == 0 && !c.Directory.ResidencyDiffers(e.id, next) {
 		return
 	}
 	sequence := c.Directory.Publish(term, e.id, next)
