--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -85,7 +85,7 @@
 	now := time.Now()
 	granted := r.rate.grant
 	r.rate.grant = rateGrant{}
-	if granted.upstream == upstream && now.Sub(granted.at) < dispatch.RateGrantLife {
+	if granted.upstream == upstream && now.Sub(granted.at) < dispatch.RateGrantTTL {
 		return true
 	}
 	bound, _ := r.rateBound(upstream, now)
--- a/pkg/dispatch/rates.go
+++ b/pkg/dispatch/rates.go
@@ -29,7 +29,7 @@
 
 // RateGrant is the response to a RateAsk.
 type RateGrant struct {
-	// Granted means that one request may be sent within RateGrantLife.
+	// Granted means that one request may be sent within RateGrantTTL.
 	Granted bool `json:"granted"`
 	// Wait is the time after which to ask again; 0 if granted.
 	Wait time.Duration `json:"wait,omitempty"`
@@ -38,8 +38,8 @@
 }
 
 const (
-	// RateGrantLife is how long a grant is valid before the request is sent.
-	RateGrantLife = 100 * time.Millisecond
+	// RateGrantTTL is how long a grant is valid before the request is sent.
+	RateGrantTTL = 100 * time.Millisecond
 	// maxRequestTransit is the longest time from sending a request to its arrival at an engine, including
 	// the setup of a new connection.
 	maxRequestTransit = 400 * time.Millisecond
@@ -89,10 +89,10 @@
 }
 
 // rate returns how many requests may be granted per second. It keeps the arrivals in any second within the
-// bound although each request arrives up to RateGrantLife + maxRequestTransit after its grant.
+// bound although each request arrives up to RateGrantTTL + maxRequestTransit after its grant.
 func (t ColdTolerance) rate(perSecond float64) float64 {
 	maxRate := perSecond * max(1, t.Overage)
-	maxDelay := (RateGrantLife + maxRequestTransit).Seconds()
+	maxDelay := (RateGrantTTL + maxRequestTransit).Seconds()
 	return max(0, min(maxRate, (maxRate+t.Slack-coldBurst)/(1+maxDelay)))
 }
 
--- a/pkg/dispatch/rates_test.go
+++ b/pkg/dispatch/rates_test.go
@@ -15,7 +15,7 @@
 type grantFunc func(box int, now time.Time) RateGrant
 
 // simulateColdEngine makes boxes ask to send requests to one engine while it is cold. Each request takes up to
-// RateGrantLife + maxRequestTransit to arrive after its grant. It returns the highest number of arrivals in any
+// RateGrantTTL + maxRequestTransit to arrive after its grant. It returns the highest number of arrivals in any
 // second and the number of all arrivals.
 func simulateColdEngine(boxes int, perSecond float64, span time.Duration, ask grantFunc) (worst, all int) {
 	random := rand.New(rand.NewPCG(1, uint64(boxes)))
@@ -35,7 +35,7 @@
 				next[box] = now.Add(grant.Wait)
 				continue
 			}
-			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+maxRequestTransit)))
+			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantTTL+maxRequestTransit)))
 		}
 	}
 	for _, from := range arrivals {
@@ -159,7 +159,7 @@
 				next[box] = now.Add(grant.Wait)
 				continue
 			}
-			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantLife+maxRequestTransit)))
+			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(RateGrantTTL+maxRequestTransit)))
 		}
 		slices.Sort(arrivals)
 		return arrivals
