--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -140,7 +140,7 @@
 	if !worthIt || r.gateway.Reserve == nil {
 		return
 	}
-	asked.Budget = dispatch.AnyBudget
+	asked.Budget = dispatch.UnlimitedBudget
 	go func() { _, _ = r.gateway.Reserve(context.WithoutCancel(ctx), asked) }()
 }
 
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -16,8 +16,8 @@
 	Budget time.Duration `json:"budget"`
 }
 
-// AnyBudget is the budget of a prompt that is sent no matter how long the engine prefills others.
-const AnyBudget = time.Duration(math.MaxInt64)
+// UnlimitedBudget is the budget of a prompt that is sent no matter how long the engine prefills others.
+const UnlimitedBudget = time.Duration(math.MaxInt64)
 
 // ReservationAnswer is the response to a Reservation.
 type ReservationAnswer struct {
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -50,7 +50,7 @@
 	It("are always taken for a request that can't wait", func() {
 		r := dispatch.NewReservations()
 		urgent := ask("a", read)
-		urgent.Budget = dispatch.AnyBudget
+		urgent.Budget = dispatch.UnlimitedBudget
 		for range 10 {
 			Expect(r.Reserve(urgent, begin)).To(Equal(taken))
 		}
