--- a/internal/cluster/keepers_test.go
+++ b/internal/cluster/keepers_test.go
@@ -126,7 +126,7 @@
 			}
 		}
 		large := &Reservations{Members: m, Kept: dispatch.NewReservations(), Log: zap.NewNop()}
-		answer, err := large.Reserve(context.Background(), dispatch.Reservation{Engine: own, Read: time.Second})
+		answer, err := large.Reserve(context.Background(), dispatch.Reservation{Engine: own, PrefillTime: time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Taken).To(BeTrue())
 	})
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -9,8 +9,8 @@
 // Reservation asks to reserve an engine's time to prefill a prompt.
 type Reservation struct {
 	Engine string `json:"engine"`
-	// Read is how long the engine takes to prefill the prompt.
-	Read time.Duration `json:"read"`
+	// PrefillTime is how long the engine takes to prefill the prompt.
+	PrefillTime time.Duration `json:"read"`
 	// Window is a time span in which the engine may prefill for at most Budget, this prompt included.
 	Window time.Duration `json:"window"`
 	Budget time.Duration `json:"budget"`
@@ -58,9 +58,9 @@
 	if len(spans) > 0 && spans[len(spans)-1].end.After(begin) {
 		begin = spans[len(spans)-1].end
 	}
-	next := span{begin: begin, end: begin.Add(asked.Read)}
+	next := span{begin: begin, end: begin.Add(asked.PrefillTime)}
 	others := prefillTimeSince(spans, next.end.Add(-asked.Window))
-	if excess := others - max(0, asked.Budget-asked.Read); excess > 0 {
+	if excess := others - max(0, asked.Budget-asked.PrefillTime); excess > 0 {
 		r.setSpans(asked.Engine, spans)
 		return ReservationAnswer{Wait: waitForBudget(spans, next.end.Add(-asked.Window), excess)}
 	}
@@ -137,5 +137,5 @@
 		return Reservation{}, false
 	}
 	budget := max(0, scale(need.GapTarget, max(minBudgetShare, float64(c.pauseShare)))-c.eventTime)
-	return Reservation{Engine: c.Upstream.ID, Read: c.prefillTime, Window: need.GapTarget, Budget: budget}, true
+	return Reservation{Engine: c.Upstream.ID, PrefillTime: c.prefillTime, Window: need.GapTarget, Budget: budget}, true
 }
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -16,7 +16,7 @@
 	const read, window, budget = 240 * time.Millisecond, 500 * time.Millisecond, 420 * time.Millisecond
 	begin := time.Unix(1000, 0)
 	ask := func(engine string, length time.Duration) dispatch.Reservation {
-		return dispatch.Reservation{Engine: engine, Read: length, Window: window, Budget: budget}
+		return dispatch.Reservation{Engine: engine, PrefillTime: length, Window: window, Budget: budget}
 	}
 	taken := dispatch.ReservationAnswer{Taken: true}
 
@@ -71,7 +71,7 @@
 		reserved, worthIt := choose(9190, 500*time.Millisecond)
 		Expect(worthIt).To(BeTrue())
 		Expect(reserved.Engine).To(Equal("e"))
-		Expect(reserved.Read).To(BeNumerically("~", 242*time.Millisecond, time.Millisecond))
+		Expect(reserved.PrefillTime).To(BeNumerically("~", 242*time.Millisecond, time.Millisecond))
 		Expect(reserved.Window).To(Equal(500 * time.Millisecond))
 		Expect(reserved.Budget).To(Equal(420 * time.Millisecond))
 	})
@@ -96,7 +96,7 @@
 	n := 0
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		r.Reserve(dispatch.Reservation{Engine: names[n%len(names)], Read: time.Millisecond, Window: time.Second, Budget: time.Second}, now)
+		r.Reserve(dispatch.Reservation{Engine: names[n%len(names)], PrefillTime: time.Millisecond, Window: time.Second, Budget: time.Second}, now)
 		n++
 	}
 }
