--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -23,7 +23,7 @@
 	if r.need.Model == "" || r.gateway.RecordDemand == nil {
 		return
 	}
-	work := r.gateway.Loads.Work(r.need, uncached)
+	work := r.gateway.Loads.EngineTime(r.need, uncached)
 	key := residency.WorkKey{ModelKey: residency.ModelKey{Service: r.service, Model: r.need.Model}, Patient: r.patient()}
 	r.gateway.RecordDemand(map[residency.WorkKey]float64{key: float64(work) / float64(time.Millisecond)})
 }
--- a/pkg/dispatch/prediction.go
+++ b/pkg/dispatch/prediction.go
@@ -144,8 +144,8 @@
 	return time.Duration(float64(tokens) / prefillTokensPerMillisecond * float64(time.Millisecond))
 }
 
-// Work estimates the engine time that a request costs. Placement uses it as the demand.
-func (t *LoadTracker) Work(need Requirements, uncached int) time.Duration {
+// EngineTime estimates the engine time that a request costs. Placement uses it as the demand.
+func (t *LoadTracker) EngineTime(need Requirements, uncached int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	work := prefillTime(uncached) + time.Duration(need.AnswerTokens)*answerTokenTime
--- a/pkg/dispatch/prediction_test.go
+++ b/pkg/dispatch/prediction_test.go
@@ -37,7 +37,7 @@
 			// Both factors, of the model and of the upstream, have reached 1.5.
 			Expect(last.Wait).To(BeNumerically(">", 2*first.Wait))
 			Expect(last.Wait).To(BeNumerically("<", 2.3*float64(first.Wait)))
-			Expect(tracker.Work(request, 0)).To(Equal(time.Duration(1.5 * 10 * 150 * float64(time.Microsecond))))
+			Expect(tracker.EngineTime(request, 0)).To(Equal(time.Duration(1.5 * 10 * 150 * float64(time.Microsecond))))
 		})
 	})
 
