--- a/internal/cluster/quotas.go
+++ b/internal/cluster/quotas.go
@@ -23,7 +23,7 @@
 
 // Ask sends a request to the keeper of an account, which may be this box. The error is errKeeperLost or that of the
 // call.
-func (q *Quotas) Ask(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
+func (q *Quotas) Ask(ctx context.Context, ask customers.SpendRequest) (customers.Grant, error) {
 	keeper := q.keeperOf(ask)
 	if keeper.Name == q.Members.self.Name {
 		return q.answer(ctx, ask)
@@ -33,7 +33,7 @@
 }
 
 // keeperOf returns the keeper of the account that the request is for.
-func (q *Quotas) keeperOf(ask customers.Ask) Box {
+func (q *Quotas) keeperOf(ask customers.SpendRequest) Box {
 	switch ask.Scope {
 	case customers.FleetScope:
 		return q.Members.keeperOf(ask.Customer)
@@ -44,7 +44,7 @@
 }
 
 // answer spends from an account that this box keeps.
-func (q *Quotas) answer(_ context.Context, ask customers.Ask) (customers.Grant, error) {
+func (q *Quotas) answer(_ context.Context, ask customers.SpendRequest) (customers.Grant, error) {
 	now := time.Now()
 	return q.Keeper.Spend(ask, q.share(ask.Scope, now), now), nil
 }
--- a/pkg/customers/bench_test.go
+++ b/pkg/customers/bench_test.go
@@ -11,9 +11,9 @@
 // BenchmarkSpend charges the cost of one request to the account of one of many customers.
 func BenchmarkSpend(b *testing.B) {
 	keeper := customers.NewKeeper(wide)
-	asks := make([]customers.Ask, 300)
+	asks := make([]customers.SpendRequest, 300)
 	for n := range asks {
-		asks[n] = customers.Ask{Customer: fmt.Sprint("c", n), Scope: customers.FleetScope, Limit: profiles[1].limit, Costs: []float64{9244}}
+		asks[n] = customers.SpendRequest{Customer: fmt.Sprint("c", n), Scope: customers.FleetScope, Limit: profiles[1].limit, Costs: []float64{9244}}
 	}
 	now := time.Now()
 	b.ReportAllocs()
--- a/pkg/customers/keeper.go
+++ b/pkg/customers/keeper.go
@@ -36,7 +36,7 @@
 // Spend executes an ask. share is the fraction of the limit that the account holds now: the boxes that it serves, of
 // all boxes. During a network partition the shares of the accounts on both sides add up to 1, so that both together
 // keep within the limit.
-func (k *Keeper) Spend(ask Ask, share float64, now time.Time) Grant {
+func (k *Keeper) Spend(ask SpendRequest, share float64, now time.Time) Grant {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	a := k.account(ask, share, now)
@@ -52,7 +52,7 @@
 }
 
 // account returns the account of an ask, which it creates if there is none. The caller holds the lock.
-func (k *Keeper) account(ask Ask, share float64, now time.Time) *account {
+func (k *Keeper) account(ask SpendRequest, share float64, now time.Time) *account {
 	k.prune(now)
 	key := accountKey{customer: ask.Customer, scope: ask.Scope}
 	a := k.accounts[key]
--- a/pkg/customers/keeper_test.go
+++ b/pkg/customers/keeper_test.go
@@ -15,8 +15,8 @@
 
 var strict = customers.Tolerance{Window: 8 * time.Second}
 
-func askFor(limit customers.Limit, version int64, costs ...float64) customers.Ask {
-	return customers.Ask{Customer: "c", Scope: customers.FleetScope, Limit: limit, Version: version, Costs: costs}
+func askFor(limit customers.Limit, version int64, costs ...float64) customers.SpendRequest {
+	return customers.SpendRequest{Customer: "c", Scope: customers.FleetScope, Limit: limit, Version: version, Costs: costs}
 }
 
 var _ = Describe("A limit", func() {
@@ -115,12 +115,12 @@
 // fakeKeeper answers asks after 5 ms, or not at all for the silent scopes.
 type fakeKeeper struct {
 	mu     sync.Mutex
-	asks   []customers.Ask
+	asks   []customers.SpendRequest
 	silent map[customers.Scope]bool
 	wait   time.Duration
 }
 
-func (k *fakeKeeper) ask(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
+func (k *fakeKeeper) ask(ctx context.Context, ask customers.SpendRequest) (customers.Grant, error) {
 	k.mu.Lock()
 	k.asks = append(k.asks, ask)
 	silent, wait := k.silent[ask.Scope], k.wait
--- a/pkg/customers/quota.go
+++ b/pkg/customers/quota.go
@@ -29,8 +29,8 @@
 	BoxScope Scope = "box"
 )
 
-// Ask asks the keeper of an account to subtract the costs of some requests.
-type Ask struct {
+// SpendRequest asks the keeper of an account to subtract the costs of some requests.
+type SpendRequest struct {
 	Customer string `json:"customer"`
 	Scope    Scope  `json:"scope"`
 	// Limit is the customer's limit in the given version of the configuration.
--- a/pkg/customers/replay_ways_test.go
+++ b/pkg/customers/replay_ways_test.go
@@ -26,7 +26,7 @@
 		time.Sleep(time.Second) // Asks in flight end.
 	}()
 	for box := range r.boxes {
-		spenders[box] = customers.NewSpender(func(ctx context.Context, ask customers.Ask) (customers.Grant, error) {
+		spenders[box] = customers.NewSpender(func(ctx context.Context, ask customers.SpendRequest) (customers.Grant, error) {
 			return r.ask(ctx, box, keeper, ask)
 		})
 		go spenders[box].Run(ctx)
@@ -73,7 +73,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-func (r *simulation) ask(ctx context.Context, box, keeper int, ask customers.Ask) (customers.Grant, error) {
+func (r *simulation) ask(ctx context.Context, box, keeper int, ask customers.SpendRequest) (customers.Grant, error) {
 	to, share := keeper, 0.0
 	switch ask.Scope {
 	case customers.FleetScope:
@@ -100,7 +100,7 @@
 	r.resetAll(seed)
 	r.run(seed, func(box int) bool {
 		limit, version := r.currentLimit()
-		ask := customers.Ask{Customer: "c", Scope: customers.BoxScope, Limit: limit, Version: version, Costs: []float64{r.cost}}
+		ask := customers.SpendRequest{Customer: "c", Scope: customers.BoxScope, Limit: limit, Version: version, Costs: []float64{r.cost}}
 		return r.keeper(box).Spend(ask, 1.0/float64(r.boxes), time.Now()).Waits[0] == 0
 	})
 	return r.result()
@@ -113,7 +113,7 @@
 	r.resetAll(seed)
 	ask := func(box int, costs []float64, settled float64) customers.Grant {
 		limit, version := r.currentLimit()
-		a := customers.Ask{Customer: "c", Scope: customers.FleetScope, Limit: limit, Version: version, Costs: costs, Settled: settled}
+		a := customers.SpendRequest{Customer: "c", Scope: customers.FleetScope, Limit: limit, Version: version, Costs: costs, Settled: settled}
 		return r.keeper(box).Spend(a, float64(r.reachableBoxes(box))/float64(r.boxes), time.Now())
 	}
 	if r.restartAll {
--- a/pkg/customers/spender.go
+++ b/pkg/customers/spender.go
@@ -43,7 +43,7 @@
 type Spender struct {
 	// Ask asks the keeper of an account. After an error, which means that the keeper does not answer, the next
 	// scope is tried. BoxScope always answers.
-	Ask func(ctx context.Context, ask Ask) (Grant, error)
+	Ask func(ctx context.Context, ask SpendRequest) (Grant, error)
 
 	mu     sync.Mutex
 	queues map[string]*queue
@@ -71,7 +71,7 @@
 }
 
 // NewSpender returns a spender that asks keepers with the given function.
-func NewSpender(ask func(ctx context.Context, ask Ask) (Grant, error)) *Spender {
+func NewSpender(ask func(ctx context.Context, ask SpendRequest) (Grant, error)) *Spender {
 	return &Spender{Ask: ask, queues: map[string]*queue{}}
 }
 
@@ -160,17 +160,17 @@
 
 // nextAsk takes the next ask out of a queue, including one that only settles if settle is set. It reports false if
 // there is nothing to ask; the goroutine then ends.
-func (s *Spender) nextAsk(name string, q *queue, settle bool) (ask Ask, batch []pendingRequest, ok bool) {
+func (s *Spender) nextAsk(name string, q *queue, settle bool) (ask SpendRequest, batch []pendingRequest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(q.pending), maxBatch)
 	if n == 0 && (!settle || q.currentUnsettled(time.Now()) == 0) {
 		q.asking = false
-		return Ask{}, nil, false
+		return SpendRequest{}, nil, false
 	}
 	batch = q.pending[:n:n]
 	q.pending = q.pending[n:]
-	ask = Ask{Customer: name, Limit: q.limit, Version: q.version, Settled: q.currentUnsettled(time.Now())}
+	ask = SpendRequest{Customer: name, Limit: q.limit, Version: q.version, Settled: q.currentUnsettled(time.Now())}
 	q.unsettled = 0
 	for _, w := range batch {
 		ask.Costs = append(ask.Costs, w.cost)
@@ -179,7 +179,7 @@
 }
 
 // askInOrder asks one account after another until one answers. Without costs, only the fleet's account is asked.
-func (s *Spender) askInOrder(ask Ask) (Grant, Scope) {
+func (s *Spender) askInOrder(ask SpendRequest) (Grant, Scope) {
 	settled := ask.Settled
 	for _, scope := range []Scope{FleetScope, HallScope, BoxScope} {
 		ask.Scope, ask.Settled = scope, 0
@@ -200,7 +200,7 @@
 }
 
 // deliver gives all requests of an ask their verdicts, and records what must be settled.
-func (s *Spender) deliver(q *queue, ask Ask, batch []pendingRequest, grant Grant, scope Scope, asked time.Time) {
+func (s *Spender) deliver(q *queue, ask SpendRequest, batch []pendingRequest, grant Grant, scope Scope, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
