--- a/pkg/customers/spender.go
+++ b/pkg/customers/spender.go
@@ -41,9 +41,9 @@
 // Spender charges the costs of this box's requests to their customers' quotas. Requests of one customer that arrive
 // while a keeper is asked are batched into the next ask. It is safe for concurrent use.
 type Spender struct {
-	// Ask asks the keeper of an account. After an error, which means that the keeper does not answer, the next
+	// AskKeeper asks the keeper of an account. After an error, which means that the keeper does not answer, the next
 	// scope is tried. BoxScope always answers.
-	Ask func(ctx context.Context, ask SpendRequest) (Grant, error)
+	AskKeeper func(ctx context.Context, ask SpendRequest) (Grant, error)
 
 	mu     sync.Mutex
 	queues map[string]*queue
@@ -72,7 +72,7 @@
 
 // NewSpender returns a spender that asks keepers with the given function.
 func NewSpender(ask func(ctx context.Context, ask SpendRequest) (Grant, error)) *Spender {
-	return &Spender{Ask: ask, queues: map[string]*queue{}}
+	return &Spender{AskKeeper: ask, queues: map[string]*queue{}}
 }
 
 // Take takes a request's cost off its customer's quota in a version of the configuration, or refuses it. It answers
@@ -189,7 +189,7 @@
 			break
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
-		grant, err := s.Ask(ctx, ask)
+		grant, err := s.AskKeeper(ctx, ask)
 		cancel()
 		// Not logged here: whoever asks the keeper logs when it loses and regains it.
 		if err == nil && len(grant.Waits) == len(ask.Costs) {
