--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -174,7 +174,7 @@
 			zap.Int("bytes", bytes),
 			zap.String("origin", string(state.Origin)),
 			zap.Duration("took", time.Since(start)))
-		if disputed := table.Customers.Disputed(); len(disputed) > 0 {
+		if disputed := table.Customers.SharingKey(); len(disputed) > 0 {
 			v.config.Log.Warn("customers have a key in common, which names none of them: give each its own",
 				zap.Int64("version", table.Version), zap.Strings("customers", disputed))
 		}
--- a/pkg/customers/credential_test.go
+++ b/pkg/customers/credential_test.go
@@ -49,12 +49,12 @@
 	)
 
 	It("names the customers that have a key in common", func() {
-		Expect(directory.Disputed()).To(ConsistOf("acme", "burr"))
+		Expect(directory.SharingKey()).To(ConsistOf("acme", "burr"))
 	})
 
 	It("takes a key that one customer lists twice", func() {
 		twice := customers.NewDirectory([]customers.Customer{{Name: "c", Keys: []customers.Digest{customers.DigestOf("k"), customers.DigestOf("k")}}})
-		Expect(twice.Disputed()).To(BeEmpty())
+		Expect(twice.SharingKey()).To(BeEmpty())
 		customer, _ := twice.Find(customers.ReadCredential([]string{"Bearer k"}))
 		Expect(customer.Name).To(Equal("c"))
 	})
@@ -64,7 +64,7 @@
 		customer, rejected := none.Find(customers.ReadCredential(nil))
 		Expect(customer).To(BeNil())
 		Expect(rejected).To(Equal(customers.Accepted))
-		Expect(none.Disputed()).To(BeEmpty())
+		Expect(none.SharingKey()).To(BeEmpty())
 		_, rejected = customers.NewDirectory(nil).Find(customers.ReadCredential([]string{"Bearer k1"}))
 		Expect(rejected).To(Equal(customers.UnknownKey))
 	})
--- a/pkg/customers/directory.go
+++ b/pkg/customers/directory.go
@@ -40,8 +40,8 @@
 // Limited reports whether any customer has a limit.
 func (d *Directory) Limited() bool { return d != nil && d.limited }
 
-// Disputed returns the names of the customers that share a key with another, which identifies none of them.
-func (d *Directory) Disputed() []string {
+// SharingKey returns the names of the customers that share a key with another, which identifies none of them.
+func (d *Directory) SharingKey() []string {
 	if d == nil {
 		return nil
 	}
