--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -71,16 +71,16 @@
 	if ctx.Err() != nil {
 		return 0, r.contextRefusal(ctx)
 	}
-	if ensured.Ready > 0 {
+	if ensured.ReadyIn > 0 {
 		r.deadlines.upstream = r.deadlines.load
 	}
 	left = time.Until(r.deadlines.upstream)
-	if ensured.Ready > left || left < directoryPoll {
+	if ensured.ReadyIn > left || left < directoryPoll {
 		r.logNotProvided(ensured, err)
-		return 0, r.refusalFor(lacking, ensured.Ready)
+		return 0, r.refusalFor(lacking, ensured.ReadyIn)
 	}
 	// err is not logged here: either a later call succeeds, or the last error is logged.
-	return max(directoryPoll, min(ensured.Ready, left/2)), nil
+	return max(directoryPoll, min(ensured.ReadyIn, left/2)), nil
 }
 
 func (r *inflight) logNotProvided(ensured residency.EnsureResult, err error) {
@@ -88,7 +88,7 @@
 		zap.String("id", r.request.ID),
 		zap.String("model", r.need.Model),
 		zap.String("adapter", r.need.Adapter),
-		zap.Duration("ready", ensured.Ready),
+		zap.Duration("ready", ensured.ReadyIn),
 		zap.Int64("term", ensured.Term),
 		logfield.Error(err))
 }
--- a/pkg/residency/ensure.go
+++ b/pkg/residency/ensure.go
@@ -17,8 +17,8 @@
 	// Residency is that of the engine.
 	Residency fleet.Residency `json:"residency,omitzero"`
 	Term      int64           `json:"term,omitempty"`
-	// Ready is the time until it is probably available; 0 if that is not known.
-	Ready time.Duration `json:"ready,omitempty"`
+	// ReadyIn is the time until it is probably available; 0 if that is not known.
+	ReadyIn time.Duration `json:"ready,omitempty"`
 }
 
 // Want describes what a request needs from an engine.
@@ -57,7 +57,7 @@
 		return EnsureResult{}, ErrUnknownModel
 	}
 	if c.replicas(&want) == 0 {
-		return EnsureResult{Ready: c.recordMiss(&want), Term: term}, ErrNoPlace
+		return EnsureResult{ReadyIn: c.recordMiss(&want), Term: term}, ErrNoPlace
 	}
 	if adapter == "" {
 		return EnsureResult{Term: term}, nil
@@ -68,9 +68,9 @@
 	}
 	if errors.Is(err, ErrNoPlace) {
 		c.Demand.Note(map[WorkKey]float64{{ModelKey: ModelKey{service, model}}: slotShortageWork}, time.Now())
-		return EnsureResult{Ready: adapterIdleTime / 2, Term: term}, err
+		return EnsureResult{ReadyIn: adapterIdleTime / 2, Term: term}, err
 	}
-	return EnsureResult{Ready: adapterLoadTime, Term: term}, err
+	return EnsureResult{ReadyIn: adapterLoadTime, Term: term}, err
 }
 
 // recordMiss records a request for a model that no engine holds, and returns the time until the model is
