--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -109,7 +109,7 @@
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			f.Ensure = func(context.Context, residency.Want) (residency.EnsureResult, error) {
-				return residency.EnsureResult{ReadyIn: 500 * time.Millisecond}, residency.ErrNoPlace
+				return residency.EnsureResult{ReadyIn: 500 * time.Millisecond}, residency.ErrNoCapacity
 			}
 			begun := time.Now()
 			time.AfterFunc(100*time.Millisecond, func() {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -168,7 +168,7 @@
 		Chooser:   &dispatch.Chooser{Loads: loads},
 		Upstreams: Upstreams{Send: f.send, Refuses: f.refuses},
 		Ensure: func(context.Context, residency.Want) (residency.EnsureResult, error) {
-			return residency.EnsureResult{ReadyIn: 2 * time.Second}, residency.ErrNoPlace
+			return residency.EnsureResult{ReadyIn: 2 * time.Second}, residency.ErrNoCapacity
 		},
 		Quarantine: quarantine.NewRegister(quarantine.DefaultPolicy),
 		Log:        zap.NewNop(),
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -99,7 +99,7 @@
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			begun := time.Now()
 			f.Ensure = func(context.Context, residency.Want) (residency.EnsureResult, error) {
-				return residency.EnsureResult{ReadyIn: 500*time.Millisecond - time.Since(begun)}, residency.ErrNoPlace
+				return residency.EnsureResult{ReadyIn: 500*time.Millisecond - time.Since(begun)}, residency.ErrNoCapacity
 			}
 			time.AfterFunc(500*time.Millisecond, func() {
 				holdings := []fleet.Holding{{Model: "m"}, {Model: "nowhere"}}
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -105,7 +105,7 @@
 			var wanted residency.Want
 			f.Ensure = func(_ context.Context, want residency.Want) (residency.EnsureResult, error) {
 				wanted = want
-				return residency.EnsureResult{ReadyIn: time.Hour}, residency.ErrNoPlace
+				return residency.EnsureResult{ReadyIn: time.Hour}, residency.ErrNoCapacity
 			}
 			f.ask(context.Background(), "r", "/stream/x", "nowhere")
 			Expect(wanted.Halls).To(Equal([]string{"0", "1"}))
--- a/internal/gateway/reservations_test.go
+++ b/internal/gateway/reservations_test.go
@@ -70,7 +70,7 @@
 		box := New(Config{
 			Directory: fleet.New(), Loads: loads, Chooser: &dispatch.Chooser{Loads: loads}, Upstreams: Upstreams{Send: f.send},
 			Ensure: func(context.Context, residency.Want) (residency.EnsureResult, error) {
-				return residency.EnsureResult{}, residency.ErrNoPlace
+				return residency.EnsureResult{}, residency.ErrNoCapacity
 			},
 			Boxes: func() int { return readingBoxes }, Log: zap.NewNop(), Metrics: metrics.NewSet(),
 		})
--- a/pkg/residency/controller_test.go
+++ b/pkg/residency/controller_test.go
@@ -183,7 +183,7 @@
 			t := newTestFleet(1, 0)
 			t.controller.Unresponsive = func(upstream string) bool { return upstream == "e0" }
 			_, err := t.controller.Ensure(context.Background(), residency.Want{Service: "s", Model: "m0", Adapter: "a0"})
-			Expect(err).To(MatchError(residency.ErrNoPlace))
+			Expect(err).To(MatchError(residency.ErrNoCapacity))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { t.controller.Run(ctx); close(done) }()
--- a/pkg/residency/ensure.go
+++ b/pkg/residency/ensure.go
@@ -42,7 +42,7 @@
 const slotShortageWork = 60
 
 // Ensure makes sure that an adapter is loaded on an engine that holds its model, and returns that engine. If
-// no engine that may serve the request holds the model, it returns ErrNoPlace at once, with the time until
+// no engine that may serve the request holds the model, it returns ErrNoCapacity at once, with the time until
 // the model is probably loaded. Other errors are those of Config.Term, ErrUnknownModel, ErrFailed and the
 // context's.
 func (c *Controller) Ensure(ctx context.Context, want Want) (EnsureResult, error) {
@@ -57,7 +57,7 @@
 		return EnsureResult{}, ErrUnknownModel
 	}
 	if c.replicas(&want) == 0 {
-		return EnsureResult{ReadyIn: c.recordMiss(&want), Term: term}, ErrNoPlace
+		return EnsureResult{ReadyIn: c.recordMiss(&want), Term: term}, ErrNoCapacity
 	}
 	if adapter == "" {
 		return EnsureResult{Term: term}, nil
@@ -66,7 +66,7 @@
 	if target != nil {
 		return EnsureResult{Upstream: target.id, Residency: target.residency(), Term: term}, nil
 	}
-	if errors.Is(err, ErrNoPlace) {
+	if errors.Is(err, ErrNoCapacity) {
 		c.Demand.Note(map[WorkKey]float64{{ModelKey: ModelKey{service, model}}: slotShortageWork}, time.Now())
 		return EnsureResult{ReadyIn: adapterIdleTime / 2, Term: term}, err
 	}
--- a/pkg/residency/hedge.go
+++ b/pkg/residency/hedge.go
@@ -30,12 +30,12 @@
 }
 
 // ensureAdapter makes sure that an adapter is loaded and returns the first engine that has it. If an engine
-// takes longer than hedgeDelay, another one is tried in parallel. It returns ErrNoPlace if no engine can
+// takes longer than hedgeDelay, another one is tried in parallel. It returns ErrNoCapacity if no engine can
 // take the adapter, and ErrFailed if all loads failed.
 func (c *Controller) ensureAdapter(ctx context.Context, engines *routes.Engines, want *Want) (*engine, error) {
 	var tried []string
 	var pending []adapterLoad
-	failure := error(ErrNoPlace)
+	failure := error(ErrNoCapacity)
 	for {
 		started := false
 		if len(tried) < maxHedgedLoads {
--- a/pkg/residency/order.go
+++ b/pkg/residency/order.go
@@ -85,8 +85,8 @@
 	ErrNotHolder = errors.ConstError("not the holder of the order lease: ask the box that is")
 	// ErrWaiting: the lease was gained so recently that orders of the former holder may still arrive.
 	ErrWaiting = errors.ConstError("order lease gained only now: ask again when the former holder's time is over")
-	// ErrNoPlace: no engine can take the requested model or adapter at the moment.
-	ErrNoPlace = errors.ConstError("no engine can take it now: ask again later")
+	// ErrNoCapacity: no engine can take the requested model or adapter at the moment.
+	ErrNoCapacity = errors.ConstError("no engine can take it now: ask again later")
 	// ErrUnknownModel: the configuration contains no such model.
 	ErrUnknownModel = errors.ConstError("model or adapter not in the configuration: check its name")
 	// ErrBusy: the engine is carrying out an order, and when it ends is not known.
