--- a/internal/storeview/size_bench_test.go
+++ b/internal/storeview/size_bench_test.go
@@ -95,7 +95,7 @@
 			known = c.revision
 			c.mirror.ApplyDelta(lapsed)
 			delta := c.mirror.DeltaSince(known, 8192)
-			Expect(delta.Whole).To(BeFalse(), "the delta lists all keys")
+			Expect(delta.HasAllKeys).To(BeFalse(), "the delta lists all keys")
 			Expect(delta.Removed).To(HaveLen(upstreams / 3))
 		}
 	})
--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -18,9 +18,9 @@
 	Large []LargeRecord `json:"large,omitempty"`
 	// Removed are the keys that were removed, if these are known. If not, Whole is set, and Keys are all keys that
 	// exist.
-	Removed []string `json:"removed,omitempty"`
-	Whole   bool     `json:"whole,omitempty"`
-	Keys    []string `json:"keys,omitempty"`
+	Removed    []string `json:"removed,omitempty"`
+	HasAllKeys bool     `json:"whole,omitempty"`
+	Keys       []string `json:"keys,omitempty"`
 }
 
 // DeltaSince returns the changes since a revision; nil if this copy is not newer. It only names the records whose
@@ -38,7 +38,7 @@
 		delta.Removed = slices.DeleteFunc(removed, m.exists)
 		return delta
 	}
-	delta.Whole = true
+	delta.HasAllKeys = true
 	delta.Keys = m.keys()
 	return delta
 }
@@ -112,7 +112,7 @@
 // removedKeys returns the keys that the delta removes from a copy. It returns false if the delta lists a key in Keys
 // that it neither carries nor names, and that the copy neither has nor misses.
 func (d Delta) removedKeys(records Records, missing missingRecords) ([]string, bool) {
-	if !d.Whole {
+	if !d.HasAllKeys {
 		return d.Removed, true
 	}
 	delivered := make(map[string]bool, len(d.Changed))
--- a/pkg/mirror/large.go
+++ b/pkg/mirror/large.go
@@ -54,7 +54,7 @@
 	for _, key := range delta.Removed {
 		delete(m.revisions, key)
 	}
-	if delta.Whole {
+	if delta.HasAllKeys {
 		kept := make(map[string]bool, len(delta.Keys))
 		for _, key := range delta.Keys {
 			kept[key] = true
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -97,7 +97,7 @@
 
 	It("refuses a delta for a copy that is newer than its own", func() {
 		m := &mirror.Mirror{}
-		Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 9, Whole: true, Keys: []string{"a"}})).To(BeFalse())
+		Expect(m.ApplyDelta(mirror.Delta{From: 5, Revision: 9, HasAllKeys: true, Keys: []string{"a"}})).To(BeFalse())
 		Expect(m.State().Revision).To(BeZero())
 	})
 
@@ -118,7 +118,7 @@
 			put(store, "b", "2")
 			synctest.Wait()
 			delta := m.DeltaSince(early.State().Revision, math.MaxInt)
-			Expect(delta.Whole).To(BeFalse())
+			Expect(delta.HasAllKeys).To(BeFalse())
 			Expect(delta.Removed).To(Equal([]string{"a"}))
 			Expect(early.ApplyDelta(*delta)).To(BeTrue())
 			Expect(values(early.State())).To(Equal(map[string]string{"b": "2"}))
@@ -128,7 +128,7 @@
 			}
 			synctest.Wait()
 			delta = m.DeltaSince(lagging.State().Revision, math.MaxInt)
-			Expect(delta.Whole).To(BeTrue())
+			Expect(delta.HasAllKeys).To(BeTrue())
 			Expect(lagging.ApplyDelta(*delta)).To(BeTrue())
 			Expect(values(lagging.State())).To(Equal(map[string]string{"b": "2"}))
 			stop()
--- a/pkg/mirror/removals.go
+++ b/pkg/mirror/removals.go
@@ -28,7 +28,7 @@
 // addDelta remembers the removals of a delta, including keys that this copy never had, because a box whose copy is
 // between the delta's revisions may have them. A delta that does not name its removals resets the list.
 func (r *removals) addDelta(delta Delta, records int) {
-	if delta.Whole {
+	if delta.HasAllKeys {
 		r.reset(delta.Revision)
 		return
 	}
