--- a/internal/storeview/quarantine.go
+++ b/internal/storeview/quarantine.go
@@ -94,7 +94,7 @@
 
 // mayRecord reports whether this box is to record a request now.
 func (h *HoldRecorder) mayRecord(held *quarantine.HeldRequest) bool {
-	if held.For < minRemainingHold {
+	if held.Remaining < minRemainingHold {
 		return false
 	}
 	return h.Keeps(held.Request.String()) || held.Seen && held.KnownFor >= witnessDelay
@@ -109,7 +109,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	lease, err := h.Platform.Store.Grant(ctx, min(held.For, maxHoldTTL))
+	lease, err := h.Platform.Store.Grant(ctx, min(held.Remaining, maxHoldTTL))
 	if err != nil {
 		return err
 	}
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -28,8 +28,8 @@
 type HeldRequest struct {
 	Request Fingerprint
 	Stored  Stored
-	// For is how much longer the request is held.
-	For time.Duration
+	// Remaining is how much longer the request is held.
+	Remaining time.Duration
 	// Seen reports whether this box itself saw a crash under the request.
 	Seen bool
 	// KnownFor is how long this box has known of the latest crash.
@@ -48,7 +48,7 @@
 		if len(rec.crashes) < r.Policy.PauseAfter || left <= 0 {
 			continue
 		}
-		held := HeldRequest{Request: f, Stored: Stored{Crashes: rec.crashCount()}, For: left}
+		held := HeldRequest{Request: f, Stored: Stored{Crashes: rec.crashCount()}, Remaining: left}
 		for _, c := range rec.crashes {
 			held.Seen = held.Seen || c.source == FromSelf
 			held.KnownFor = now.Sub(c.knownSince)
