--- a/internal/storeview/quarantine.go
+++ b/internal/storeview/quarantine.go
@@ -97,7 +97,7 @@
 	if held.Remaining < minRemainingHold {
 		return false
 	}
-	return h.Keeps(held.Request.String()) || held.Seen && held.KnownFor >= witnessDelay
+	return h.Keeps(held.Request.String()) || held.SeenHere && held.KnownFor >= witnessDelay
 }
 
 // record writes a record under a lease that expires with the hold. If another box changed the record meanwhile, that
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -144,7 +144,7 @@
 		Expect(r.Held()).To(BeEmpty())
 		crash("e3")
 		Expect(r.Held()).To(Equal([]quarantine.HeldRequest{{
-			Request: request, Stored: quarantine.Stored{Crashes: 3}, Remaining: 10 * time.Minute, Seen: true,
+			Request: request, Stored: quarantine.Stored{Crashes: 3}, Remaining: 10 * time.Minute, SeenHere: true,
 		}}))
 	}))
 
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -30,8 +30,8 @@
 	Stored  Stored
 	// Remaining is how much longer the request is held.
 	Remaining time.Duration
-	// Seen reports whether this box itself saw a crash under the request.
-	Seen bool
+	// SeenHere reports whether this box itself saw a crash under the request.
+	SeenHere bool
 	// KnownFor is how long this box has known of the latest crash.
 	KnownFor time.Duration
 }
@@ -50,7 +50,7 @@
 		}
 		held := HeldRequest{Request: f, Stored: Stored{Crashes: rec.crashCount()}, Remaining: left}
 		for _, c := range rec.crashes {
-			held.Seen = held.Seen || c.source == FromSelf
+			held.SeenHere = held.SeenHere || c.source == FromSelf
 			held.KnownFor = now.Sub(c.knownSince)
 		}
 		list = append(list, held)
