--- a/internal/cluster/crashes.go
+++ b/internal/cluster/crashes.go
@@ -77,7 +77,7 @@
 	if update == nil {
 		return
 	}
-	changed := c.Register.Take(*update)
+	changed := c.Register.Merge(*update)
 	if !large || len(changed) == 0 {
 		return
 	}
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -115,7 +115,7 @@
 			time.AfterFunc(100*time.Millisecond, func() {
 				content := quarantine.Content{Method: http.MethodPost, Host: "h", URI: "/stream/x"}
 				requests := []quarantine.Fingerprint{content.Fingerprint()}
-				f.Quarantine.Take(quarantine.Update{Crashes: []quarantine.CrashReport{
+				f.Quarantine.Merge(quarantine.Update{Crashes: []quarantine.CrashReport{
 					{Upstream: "e8", Age: 100 * time.Millisecond, Requests: requests}, {Upstream: "e9", Requests: requests},
 				}})
 			})
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -33,7 +33,7 @@
 		if err := json.Unmarshal(text, &update); err != nil {
 			b.Fatal(err)
 		}
-		quarantine.NewRegister(quarantine.DefaultPolicy).Take(update)
+		quarantine.NewRegister(quarantine.DefaultPolicy).Merge(update)
 	}
 	b.ReportMetric(float64(bytes), "bytes")
 }
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -56,7 +56,7 @@
 		crash("e1")
 		time.Sleep(3 * time.Millisecond)
 		crash("e1")
-		r.Take(quarantine.Update{Crashes: []quarantine.CrashReport{{
+		r.Merge(quarantine.Update{Crashes: []quarantine.CrashReport{{
 			Upstream: "e1", Age: 400 * time.Millisecond, Requests: []quarantine.Fingerprint{request},
 		}}})
 		Expect(r.Verdict(request).Crashes).To(Equal(1))
@@ -86,7 +86,7 @@
 		late := quarantine.Update{Crashes: []quarantine.CrashReport{{
 			Upstream: "e3", Age: 5 * time.Second, Requests: []quarantine.Fingerprint{request},
 		}}}
-		Expect(r.Take(late)).To(BeEmpty())
+		Expect(r.Merge(late)).To(BeEmpty())
 		Expect(r.Verdict(request).Crashes).To(BeZero())
 	}))
 
@@ -108,11 +108,11 @@
 
 	It("reports what is known of a request, since when and from which source", inBubble(func() {
 		crash("e1")
-		r.Take(quarantine.Update{Crashes: []quarantine.CrashReport{{
+		r.Merge(quarantine.Update{Crashes: []quarantine.CrashReport{{
 			Upstream: "e2", Age: -time.Second, Requests: []quarantine.Fingerprint{request},
 		}}})
 		time.Sleep(time.Second)
-		r.Take(quarantine.Update{Crashes: []quarantine.CrashReport{{
+		r.Merge(quarantine.Update{Crashes: []quarantine.CrashReport{{
 			Upstream: "e2", Age: 200 * time.Millisecond, Requests: []quarantine.Fingerprint{request},
 		}}})
 		time.Sleep(time.Second)
@@ -197,7 +197,7 @@
 			for _, box := range boxes {
 				for range 2 {
 					for _, n := range random.Perm(len(updates)) {
-						box.Take(updates[n])
+						box.Merge(updates[n])
 					}
 				}
 			}
--- a/pkg/quarantine/update.go
+++ b/pkg/quarantine/update.go
@@ -96,8 +96,8 @@
 	return update
 }
 
-// Take merges the update of another box into the records, and returns the requests whose records changed.
-func (r *Register) Take(update Update) []Fingerprint {
+// Merge merges the update of another box into the records, and returns the requests whose records changed.
+func (r *Register) Merge(update Update) []Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
