--- a/internal/cluster/keepercall.go
+++ b/internal/cluster/keepercall.go
@@ -39,7 +39,7 @@
 		bounded, cancel = context.WithTimeout(ctx, call.Timeout)
 		defer cancel()
 	}
-	answer, err := peer.Try[A](bounded, call.Client, call.Keeper.Address, call.Method, params)
+	answer, err := peer.CallKeepingConn[A](bounded, call.Client, call.Keeper.Address, call.Method, params)
 	if call.Timeout == 0 || ctx.Err() == nil {
 		call.recordResult(err)
 	}
