--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -15,20 +15,20 @@
 const (
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged before the connection breaks.
+	// userTimeout is how long sent data may stay unacknowledged before the kernel drops the connection.
 	userTimeout = 1200 * time.Millisecond
-	// keepAliveIdle is how long a connection is quiet before it is probed, keepAliveInterval the
-	// time between probes, and keepAliveCount how many may stay unanswered.
+	// keepAliveIdle is how long a connection is idle before it is probed, keepAliveInterval the
+	// time between probes, and keepAliveCount how many probes may stay unanswered.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 2
-	// maxIdleConns is how many idle connections to one address are kept.
+	// maxIdleConns is how many idle connections to one address a transport keeps.
 	maxIdleConns = 32
 	// idleConnTimeout is how long an idle connection is kept.
 	idleConnTimeout = 20 * time.Second
 )
 
-// Dial opens a connection that breaks soon after the other side falls silent.
+// Dial opens a connection that fails soon after the remote host stops responding.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -48,9 +48,9 @@
 	return &countingConn{Conn: conn}, nil
 }
 
-// resetOnClose has a connection drop what it has not delivered when it is closed. Otherwise an order that
-// was given up in a cut hall is delivered when the cut is over: one arrived 6.2 s after it was sent, when
-// another box gave the orders.
+// resetOnClose makes a connection discard undelivered data when it is closed. Otherwise an order that was
+// abandoned during a network partition of a hall is delivered after the partition: one arrived 6.2 s after
+// it was sent, when another box already gave the orders.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // It fails only on a closed connection.
@@ -60,25 +60,24 @@
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		// Without this option the connection still works, and the callers' deadlines bound each
-		// call: a failure is no reason to refuse the connection, nor for a line per connection.
+		// call. So an error neither fails the connection nor is logged for each connection.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// countingConn counts the bytes that are written, so that a failed request is known to have been
-// sent or not.
+// countingConn counts the bytes that are written. They tell whether a failed request was sent.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write counts the bytes before it sends them: what may have left counts as sent.
+// Write counts the bytes before it sends them: data that may have been sent counts as sent.
 func (c *countingConn) Write(p []byte) (int, error) {
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// New returns a transport with connections of its own.
+// New returns a transport that shares its connections with no other transport.
 func New() *http.Transport {
 	return &http.Transport{
 		DialContext:         Dial,
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,10 +1,10 @@
-// Package transport opens connections that break soon after the other side falls silent, and
-// sends HTTP requests over them so that a failed request is known to have been sent or not.
+// Package transport opens connections that fail soon after the remote host stops responding. It
+// sends HTTP requests over them and reports whether a failed request was sent.
 //
-// It owns nothing: connections belong to the http.Transport that New returns. It relies on TCP
-// options of Linux.
+// Connections belong to the http.Transport that New returns. The package relies on TCP options of
+// Linux.
 //
-// `ospreymoor node` uses it towards the platform's store, upstreams and other boxes (HTTP/1.1).
-// `ospreymoor serve` has internal/engine's transport instead: HTTP/2, with pings in place of TCP's
-// options.
+// `ospreymoor node` uses it to call the platform's store, upstreams and other boxes (HTTP/1.1).
+// `ospreymoor serve` uses internal/engine's transport instead: HTTP/2, with pings in place of the
+// TCP options.
 package transport
--- a/internal/transport/forward.go
+++ b/internal/transport/forward.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// hopByHopHeaders concern a single connection and are not passed on (RFC 9110, 7.6.1).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// DropHopByHopHeaders removes the headers that concern a single connection from a message that is passed on.
+// DropHopByHopHeaders removes the headers that apply to a single connection from a forwarded message.
 func DropHopByHopHeaders(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -25,7 +25,7 @@
 	}
 }
 
-// OnceReader is a body that cannot be read again, so that the HTTP library never sends it twice.
+// OnceReader is a request body that cannot be read again, so that net/http never sends it twice.
 type OnceReader struct{ io.Reader }
 
 // Close does nothing.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -6,26 +6,28 @@
 	"sync"
 )
 
-// maxPooled is how many hosts' connections a pool keeps idle: the memory of one is some 25 KB, and a box has 4,100 descriptors at least.
+// maxPooled is how many hosts a pool keeps idle connections to. Those of one host take some 25 KB of memory, and
+// a box has at least 4,100 file descriptors.
 const maxPooled = 512
 
-// Pool keeps transports by name, so that no connection outlives its name or serves another one. The idle connections of those that were
-// used least recently are closed beyond maxPooled names: a box that speaks with each of 10,000 engines once keeps no more. Its zero value
-// is ready for use, by several goroutines at once.
+// Pool keeps one transport per name, so that names never share connections and Forget closes those of one name.
+// It keeps at most maxPooled transports and closes the idle connections of the least recently used one: a box
+// that calls each of 10,000 engines once keeps no more than that. The zero value is ready for use. A Pool is safe
+// for concurrent use.
 type Pool struct {
 	mu     sync.Mutex
 	byName map[string]*list.Element
-	// latest has the names in the order of their use, the latest first.
-	latest list.List
+	// byUse holds the transports in the order of their use, the most recently used first.
+	byUse list.List
 }
 
-// pooled is one transport.
-type pooled struct {
+// pooledTransport is a transport with its name in the pool.
+type pooledTransport struct {
 	name      string
 	transport *http.Transport
 }
 
-// Get returns the transport of a name.
+// Get returns the transport of a name. It makes one if the pool has none.
 func (p *Pool) Get(name string) *http.Transport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,18 +35,19 @@
 		p.byName = map[string]*list.Element{}
 	}
 	if element := p.byName[name]; element != nil {
-		p.latest.MoveToFront(element)
-		return element.Value.(*pooled).transport
+		p.byUse.MoveToFront(element)
+		return element.Value.(*pooledTransport).transport
 	}
-	added := &pooled{name: name, transport: New()}
-	p.byName[name] = p.latest.PushFront(added)
-	if oldest := p.latest.Back(); p.latest.Len() > maxPooled {
+	added := &pooledTransport{name: name, transport: New()}
+	p.byName[name] = p.byUse.PushFront(added)
+	if oldest := p.byUse.Back(); p.byUse.Len() > maxPooled {
 		p.drop(oldest)
 	}
 	return added.transport
 }
 
-// Forget closes the idle connections of a name; those in use end with their calls.
+// Forget removes the transport of a name and closes its idle connections. Connections in use stay open until their
+// calls end.
 func (p *Pool) Forget(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,10 +56,10 @@
 	}
 }
 
-// drop forgets a transport. The caller holds the lock.
+// drop removes a transport from the pool. The caller holds p.mu.
 func (p *Pool) drop(element *list.Element) {
-	dropped := p.latest.Remove(element).(*pooled)
+	dropped := p.byUse.Remove(element).(*pooledTransport)
 	delete(p.byName, dropped.name)
-	// A connection that is in use now is closed when it has been idle for idleConnTimeout.
+	// A connection that is in use now is closed once it has been idle for idleConnTimeout.
 	dropped.transport.CloseIdleConnections()
 }
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -14,10 +14,11 @@
 )
 
 var _ = Describe("a pool of transports", func() {
-	// One box speaks with each engine of a fleet once, to learn what it holds, and has few descriptors and little memory.
-	It("keeps no more connections of a large fleet than of a small one, and those in use", func() {
+	// A box calls each engine of a fleet once to learn what it holds. It has few file descriptors and little memory
+	// for idle connections.
+	It("bounds the idle connections to a large fleet, and keeps those used most recently", func() {
 		var open atomic.Int64
-		address, stop := answering(func(*http.Request) {}, func(conn net.Conn, state http.ConnState) {
+		address, stop := startServer(func(*http.Request) {}, func(conn net.Conn, state http.ConnState) {
 			switch state {
 			case http.StateNew:
 				open.Add(1)
@@ -39,19 +40,19 @@
 			call("busy")
 		}
 		Eventually(open.Load).Should(BeNumerically("<=", 513))
-		latest := pool.Get("busy")
+		busy := pool.Get("busy")
 		call("another")
-		Expect(pool.Get("busy")).To(BeIdenticalTo(latest))
+		Expect(pool.Get("busy")).To(BeIdenticalTo(busy))
 		pool.Forget("busy")
-		Expect(pool.Get("busy")).NotTo(BeIdenticalTo(latest))
+		Expect(pool.Get("busy")).NotTo(BeIdenticalTo(busy))
 	})
 })
 
-// answering serves on loopback and notes each request and the states of connections.
-func answering(note func(*http.Request), states func(net.Conn, http.ConnState)) (address string, stop func()) {
+// startServer serves on loopback. It calls onRequest for each request and onState when a connection's state changes.
+func startServer(onRequest func(*http.Request), onState func(net.Conn, http.ConnState)) (address string, stop func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { note(r) }), ConnState: states}
+	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { onRequest(r) }), ConnState: onState}
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), func() { _ = server.Close() }
 }
--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Progress bounds a call by the time in which nothing of its answer arrives, so that a long answer arrives over
-// a slow link and a silent sender is given up as soon as ever.
+// Progress bounds how long a call may go on without receiving data. A long answer can still arrive over a slow
+// link, and a call to a server that sends nothing fails early.
 type Progress struct {
-	// First is the longest time until the answer begins, and Idle the longest pause in it.
+	// First is the longest time until the answer begins, and Idle the longest pause within it.
 	First, Idle time.Duration
-	// Whole is the longest time until its end.
+	// Whole is the longest time until the answer ends.
 	Whole time.Duration
 }
 
-// Call is Sender.Call within these bounds. A call that goes beyond them fails with the context's error.
+// Call does what Sender.Call does, within these bounds. A call that exceeds one fails with the context's error.
 func (p Progress) Call(send Sender, request *http.Request, maxBytes int64) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(request.Context(), p.Whole)
 	defer cancel()
@@ -24,11 +24,11 @@
 	defer stalled.Stop()
 	return send.withBody(func(body io.Reader) io.Reader {
 		stalled.Reset(p.Idle)
-		return progressReader{Reader: body, noted: func() { stalled.Reset(p.Idle) }}
+		return progressReader{Reader: body, onData: func() { stalled.Reset(p.Idle) }}
 	}).Call(request.WithContext(ctx), maxBytes)
 }
 
-// withBody is a sender whose answers are read through what wrap returns.
+// withBody returns a sender whose response bodies are read through the reader that wrap returns.
 func (send Sender) withBody(wrap func(io.Reader) io.Reader) Sender {
 	return func(request *http.Request) (*http.Response, error) {
 		response, err := send(request)
@@ -40,23 +40,23 @@
 	}
 }
 
-// wrappedBody reads through another reader than it closes.
+// wrappedBody reads from a wrapping reader and closes the body below it.
 type wrappedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// progressReader notes each read that brings something.
+// progressReader calls onData after each read that returned data.
 type progressReader struct {
 	io.Reader
-	noted func()
+	onData func()
 }
 
-// Read reads and notes it.
+// Read reads from the reader below, and calls onData if it returned data.
 func (r progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.noted()
+		r.onData()
 	}
 	return n, err
 }
--- a/internal/transport/progress_test.go
+++ b/internal/transport/progress_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("a call bounded by its progress", func() {
 	const idle = 200 * time.Millisecond
-	// slow answers in parts with a pause before each.
+	// slow returns a server that answers in parts, with a pause before each.
 	slow := func(parts int, pause time.Duration) *httptest.Server {
 		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			for range parts {
@@ -32,14 +32,14 @@
 		return string(body), time.Since(begun), err
 	}
 
-	It("takes an answer that keeps coming, however long it takes", func() {
+	It("reads an answer that keeps arriving, however long it takes", func() {
 		body, took, err := call(slow(10, idle/4), time.Minute)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(strings.Repeat("part ", 10)))
 		Expect(took).To(BeNumerically(">", idle))
 	})
 
-	It("gives up an answer that does not begin, that stops, or that goes on for too long", func() {
+	It("fails if the answer does not begin, stalls, or takes too long as a whole", func() {
 		_, took, err := call(slow(1, 3*idle), time.Minute)
 		Expect(err).To(HaveOccurred())
 		Expect(took).To(BeNumerically("<", 4*idle))
--- a/internal/transport/refuses.go
+++ b/internal/transport/refuses.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// Refuses reports whether an address refuses connections: its host lives and no process listens there. It is false where
-// the host does not answer before ctx ends.
+// Refuses reports whether an address refuses connections: its host is up and no process listens there. It returns
+// false if the host does not answer before ctx ends.
 func Refuses(ctx context.Context, address string) bool {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/transport/refuses_test.go
+++ b/internal/transport/refuses_test.go
@@ -12,16 +12,16 @@
 )
 
 var _ = Describe("an address", func() {
-	It("refuses connections once its process is gone, not while it lives or its host is silent", func() {
+	It("refuses connections once its process has ended, not while it runs or its host does not answer", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		Expect(transport.Refuses(ctx, listener.Addr().String())).To(BeFalse())
-		over, end := context.WithCancel(ctx)
+		endedCtx, end := context.WithCancel(ctx)
 		end()
 		Expect(listener.Close()).To(Succeed())
-		Expect(transport.Refuses(over, listener.Addr().String())).To(BeFalse())
+		Expect(transport.Refuses(endedCtx, listener.Addr().String())).To(BeFalse())
 		Expect(transport.Refuses(ctx, listener.Addr().String())).To(BeTrue())
 	})
 })
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -9,15 +9,15 @@
 	"github.com/juju/errors"
 )
 
-// ErrNotSent is the kind of error of a request of which not a byte was written.
+// ErrNotSent marks the error of a request of which no byte was written.
 const ErrNotSent = errors.ConstError("not sent")
 
-// Sender sends a request over a transport of New: http.Client.Do, or http.Transport.RoundTrip,
-// which follows no redirect.
+// Sender sends a request over a transport that New returned. It is http.Client.Do, or
+// http.Transport.RoundTrip, which follows no redirects.
 type Sender func(*http.Request) (*http.Response, error)
 
-// Send sends a request. An error is of the kind ErrNotSent if the request was not sent; any other
-// leaves open whether it arrived.
+// Send sends a request. The error is an ErrNotSent if the request was not sent; after any other
+// error it may have arrived.
 func (send Sender) Send(request *http.Request) (*http.Response, error) {
 	tracker := &writeTracker{}
 	response, err := send(request.WithContext(tracker.track(request.Context())))
@@ -27,26 +27,26 @@
 	return response, nil
 }
 
-// Call sends a request and reads the whole answer. An answer longer than maxBytes is cut there, so
-// that it fails to decode. Errors are those of Send, or of a broken answer.
+// Call sends a request and reads the whole answer. It truncates an answer longer than maxBytes, which
+// then fails to decode. Errors are those of Send, or of reading the answer.
 func (send Sender) Call(request *http.Request, maxBytes int64) (status int, body []byte, err error) {
 	response, err := send.Send(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // All that is used was read: no error matters.
+	defer func() { _ = response.Body.Close() }() // All that is used was read, so the error does not matter.
 	body, err = io.ReadAll(io.LimitReader(response.Body, maxBytes))
 	return response.StatusCode, body, errors.Trace(err)
 }
 
-// writeTracker finds out whether any byte of one request was written.
+// writeTracker tells whether any byte of one request was written.
 type writeTracker struct {
 	conn *countingConn
-	// before is conn.written when the request got the connection.
+	// before is the value of conn.written when the request got the connection.
 	before int64
 }
 
-// track returns a context for the request that is tracked.
+// track returns a context for the tracked request.
 func (t *writeTracker) track(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// classify gives the error of a request that was not sent the kind ErrNotSent.
+// classify marks the error as ErrNotSent if no byte of the request was written.
 func (t *writeTracker) classify(err error) error {
 	if t.conn == nil || t.conn.written.Load() == t.before {
 		return errors.WithType(err, ErrNotSent)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("a request", func() {
-	It("is known not to have been sent if nobody takes the connection", func() {
+	It("is known not to have been sent if no process listens", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -43,15 +43,15 @@
 		Expect(err).NotTo(MatchError(transport.ErrNotSent))
 	})
 
-	It("is taken back when it is given up, so that the network does not deliver it later", func() {
+	It("is discarded when it is canceled, so that the network does not deliver it later", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
 		ctx, cancel := context.WithCancel(context.Background())
-		given := make(chan error, 1)
+		sendErr := make(chan error, 1)
 		go func() {
 			_, err := transport.Sender(transport.New().RoundTrip).Send(post(listener.Addr().String()).WithContext(ctx))
-			given <- err
+			sendErr <- err
 		}()
 		conn, err := listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
@@ -59,12 +59,12 @@
 		_, err = conn.Read(make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
 		cancel()
-		Expect(<-given).To(HaveOccurred())
+		Expect(<-sendErr).To(HaveOccurred())
 		_, err = io.ReadAll(conn)
 		Expect(err).To(MatchError(syscall.ECONNRESET))
 	})
 
-	It("is known not to have been sent if its context ends before", func() {
+	It("is known not to have been sent if its context had ended before", func() {
 		server := httptest.NewServer(http.NotFoundHandler())
 		defer server.Close()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -75,7 +75,7 @@
 })
 
 var _ = Describe("a call", func() {
-	It("reads the whole answer, and of a longer one than allowed only the beginning", func() {
+	It("reads the whole answer, and truncates one longer than allowed", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
 		defer server.Close()
 		send := transport.Sender(transport.New().RoundTrip)
