--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -2,9 +2,9 @@
 //
 // Lines go through a bounded queue to one writer. If the queue is full, or lines with the same message
 // come too often, lines are dropped and counted. Warnings, errors and the lines of a process's start and
-// stop have a queue of their own, which ordinary lines can't fill.
+// stop have a separate queue, which ordinary lines can't fill.
 //
-// It owns the queues and the writer, and relies on zap for the form of the lines and their sampling.
+// The package owns the queues and the writer, and relies on zap for the format and the sampling of lines.
 // `ospreymoor node` uses it; `ospreymoor serve` logs to zap directly.
 package logging
 
@@ -18,17 +18,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// All figures are.
+// Limits of the queues, the writer and the sampling.
 const (
 	// queueLength is the number of lines that each of the two queues holds.
 	queueLength = 4096
-	// batchBytes is how many bytes are gathered for one write.
+	// batchBytes is the size at which a batch is written without adding more lines.
 	batchBytes = 64 << 10
-	// linesPerSecond is how many lines with the same message are always written in a second; of those
-	// after them, one in everyNth is.
+	// linesPerSecond is how many lines with the same message are written each second. Of further lines in that
+	// second, one in everyNth is written.
 	linesPerSecond = 200
 	everyNth       = 20
-	// flushTime bounds how long Close waits for the writer.
+	// flushTime is how long Close waits for the writer at most.
 	flushTime = time.Second
 )
 
@@ -44,7 +44,7 @@
 	closeOnce sync.Once
 }
 
-// NewSink returns a sink that writes to out; Close ends it. The set counts the lines that are dropped.
+// NewSink returns a sink that writes to out until Close. The set gets a counter of lines that full queues dropped.
 func NewSink(out io.Writer, set *metrics.Set) *Sink {
 	s := &Sink{
 		out:       out,
@@ -58,7 +58,8 @@
 	return s
 }
 
-// New returns a logger of a level that writes to the sink.
+// New returns a logger that writes lines of a level and above to the sink. The set gets a counter of the lines
+// dropped by sampling.
 func New(level zapcore.Level, sink *Sink, set *metrics.Set) *zap.Logger {
 	encoder := newEncoder()
 	sampledOut := set.GetOrCreateCounter(`ospreymoor_log_lines_dropped_total{reason="too many of one kind"}`)
@@ -75,12 +76,12 @@
 }
 
 // Lifecycle returns a logger for the lines of a process's start, stop and reload, which are never
-// sampled.
+// dropped by sampling.
 func Lifecycle(sink *Sink) *zap.Logger {
 	return zap.New(zapcore.NewCore(newEncoder(), queue{sink, sink.important}, zapcore.InfoLevel))
 }
 
-// newEncoder encodes lines as JSON with times in RFC 3339 and durations in seconds.
+// newEncoder returns an encoder of lines as JSON, with times in RFC 3339 and durations in seconds.
 func newEncoder() zapcore.Encoder {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -88,34 +89,33 @@
 	return zapcore.NewJSONEncoder(config)
 }
 
-// between enables the levels from lowest to highest.
+// between enables the levels from lowest to highest, both included.
 func between(lowest, highest zapcore.Level) zap.LevelEnablerFunc {
 	return func(level zapcore.Level) bool { return level >= lowest && level <= highest }
 }
 
-// queue is one of a sink's two queues as zap sees it.
+// queue is one of a sink's two queues, as a zapcore.WriteSyncer.
 type queue struct {
 	sink  *Sink
 	lines chan []byte
 }
 
-// Write queues a copy of one line, since zap uses its buffer again. It drops the line if the queue is
+// Write queues a copy of one line, since zap reuses its buffer. It drops the line if the queue is
 // full.
 func (q queue) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case q.lines <- kept:
+	case q.lines <- copied:
 	default:
 		q.sink.dropped.Inc()
 	}
 	return len(line), nil
 }
 
-// Sync does nothing: the writer is always at work.
+// Sync does nothing: lines are written in the background.
 func (queue) Sync() error { return nil }
 
-// run writes lines, as many at once as there are. A failed write is not reported: there is nowhere left
-// to log it to.
+// run writes the queued lines in batches. A failed write is not reported, since there is no other place to log it.
 func (s *Sink) run() {
 	defer close(s.done)
 	var batch []byte
@@ -134,7 +134,7 @@
 	}
 }
 
-// gather adds the lines that are queued, important ones first, until the batch is full.
+// gather adds queued lines to a batch, important ones first, until the batch is full or both queues are empty.
 func (s *Sink) gather(batch []byte) []byte {
 	for len(batch) < batchBytes {
 		select {
@@ -153,7 +153,7 @@
 	return batch
 }
 
-// Close writes what is queued, for at most flushTime. Lines logged later are lost.
+// Close writes the queued lines and waits for this for at most flushTime. Lines logged later are lost.
 func (s *Sink) Close() {
 	s.closeOnce.Do(func() { close(s.closing) })
 	select {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -20,7 +20,7 @@
 
 func TestLogging(t *testing.T) { spectest.Run(t, "Logging") }
 
-// blockedWriter takes nothing until it is opened.
+// blockedWriter blocks every write until open is closed.
 type blockedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -40,7 +40,7 @@
 	return w.text.String()
 }
 
-// fixture is a logger on a writer that takes nothing until it is opened.
+// fixture is a logger whose writer is blocked until out.open is closed.
 type fixture struct {
 	set  *metrics.Set
 	out  *blockedWriter
@@ -56,7 +56,7 @@
 }
 
 var _ = Describe("a logger", func() {
-	It("never blocks, and keeps errors and the lines of a stop when standard output is blocked", func() {
+	It("does not block while standard output is blocked, and keeps errors and lifecycle lines", func() {
 		spectest.Bubble(func() {
 			f := newFixture()
 			begun := time.Now()
@@ -70,7 +70,7 @@
 			}
 			f.log.Error("an error")
 			logging.Lifecycle(f.sink).Info("stop")
-			Expect(time.Since(begun)).To(BeZero(), "it waited for something")
+			Expect(time.Since(begun)).To(BeZero(), "logging took time")
 			close(f.out.open)
 			f.sink.Close()
 			Expect(f.out.String()).To(ContainSubstring(`"msg":"an error"`))
@@ -82,7 +82,7 @@
 		})
 	})
 
-	It("bounds the lines of one kind in a second", func() {
+	It("limits how many lines with the same message it writes each second", func() {
 		spectest.Bubble(func() {
 			f := newFixture()
 			close(f.out.open)
@@ -91,13 +91,13 @@
 			}
 			f.log.Info("another kind")
 			f.sink.Close()
-			// The first 200, and each twentieth after them.
+			// The first 200, and every twentieth after them.
 			Expect(strings.Count(f.out.String(), "one kind")).To(Equal(200 + 9800/20))
 			Expect(f.out.String()).To(ContainSubstring("another kind"))
 		})
 	})
 
-	It("gives up on a writer that takes nothing", func() {
+	It("stops waiting for a blocked writer after a second", func() {
 		spectest.Bubble(func() {
 			f := newFixture()
 			f.log.Error("lost")
