--- a/pkg/spectest/link_test.go
+++ b/pkg/spectest/link_test.go
@@ -12,7 +12,7 @@
 func TestSpectest(t *testing.T) { Run(t, "Spectest") }
 
 var _ = Describe("a link's connection", func() {
-	It("leaves no goroutine where nobody listens", func() {
+	It("leaves no goroutine behind when the connection is refused", func() {
 		Bubble(func() {
 			network, link := &Network{}, NewLink(1e6)
 			dial := link.Dial(network, func(string) *Link { return NewLink(1e6) })
--- a/pkg/spectest/network.go
+++ b/pkg/spectest/network.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// Network is a network in memory, for specs in a bubble: a connection takes no time there, and a
-// goroutine that waits for it lets the bubble's time pass. Its zero value is ready for use.
+// Network is an in-memory network for specs in a synctest bubble. Connecting takes no time there, and the
+// bubble's clock advances while a goroutine waits for a connection. The zero value is ready for use.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 }
 
-// Listen opens an address. Connections are refused again once the listener is closed.
+// Listen returns a listener for an address. Connections are refused again once it is closed.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -27,8 +27,8 @@
 	return l
 }
 
-// Dial connects to an address. Where nobody listens, the error is the operating system's
-// ECONNREFUSED.
+// Dial connects to an address. If there is no open listener for it, the error is ECONNREFUSED, as from the
+// operating system.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	if err := n.connect(ctx, address, far); err != nil {
@@ -37,7 +37,7 @@
 	return near, nil
 }
 
-// connect hands the far end of a connection to whoever listens at an address.
+// connect passes the far end of a connection to the listener of an address.
 func (n *Network) connect(ctx context.Context, address string, far net.Conn) error {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -57,7 +57,7 @@
 
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	address string
 	dialed  chan net.Conn
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// Addr is the address that was opened.
+// Addr returns the address passed to Network.Listen.
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// address is that of a listener in memory.
+// address is the address of an in-memory listener.
 type address string
 
-// Network names the network.
+// Network returns the name of the network.
 func (address) Network() string { return "memory" }
 
-// String is the address itself.
+// String returns the address itself.
 func (a address) String() string { return string(a) }
--- a/pkg/spectest/spectest.go
+++ b/pkg/spectest/spectest.go
@@ -1,5 +1,5 @@
-// Package spectest runs a package's specs, and single specs on a clock of their own. Only tests use
-// it.
+// Package spectest runs a package's Ginkgo specs. For single specs it provides a synctest bubble with a
+// simulated clock, and an in-memory network. Only tests use it.
 package spectest
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/onsi/gomega"
 )
 
-// suiteT is the Go test that runs the specs of this process; synctest needs it.
+// suiteT is the Go test that runs the specs of this process. synctest.Test needs it.
 var suiteT *testing.T
 
-// knownRedVariable is the environment variable that has the specs to pass over: one regular expression
-// a line, as .ci/run takes them from KNOWN-RED.txt.
+// knownRedVariable is the environment variable that lists known failing specs to skip: one regular expression
+// per line, as .ci/run takes them from KNOWN-RED.txt.
 const knownRedVariable = "KNOWN_RED_SPECS"
 
-// Run runs all specs of a package as one Go test, but for those known to be red.
+// Run runs all specs of a package as one Go test. It skips those that KNOWN_RED_SPECS lists.
 func Run(t *testing.T, description string) {
 	suiteT = t
 	gomega.RegisterFailHandler(ginkgo.Fail)
@@ -31,8 +31,9 @@
 	ginkgo.RunSpecs(t, description, suite, reporter)
 }
 
-// Bubble runs f in a synctest bubble, whose time passes at once while all of its goroutines wait. A
-// failed check in f fails the spec. So do goroutines that remain, whose stacks the spec's output has.
+// Bubble runs f in a synctest bubble, whose clock jumps ahead whenever all of its goroutines are blocked. A
+// failed check in f fails the spec. So do goroutines that remain blocked after f; their stacks are written to
+// the spec's output.
 func Bubble(f func()) {
 	defer func() {
 		if deadlock := recover(); deadlock != nil {
@@ -48,8 +49,8 @@
 
 // writeStacks writes the stacks of all goroutines to the spec's output.
 func writeStacks() {
-	const most = 1 << 20
-	stacks := make([]byte, most)
+	const maxBytes = 1 << 20
+	stacks := make([]byte, maxBytes)
 	stacks = stacks[:runtime.Stack(stacks, true)]
 	ginkgo.GinkgoWriter.Printf("%s\n", stacks)
 }
