--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// coldSuffix marks the entry of an engine that is cold, for coldTime.
+	// coldSuffix marks the store entry of an engine that is cold for coldTime.
 	coldSuffix = " cold"
 	coldTime   = 3 * time.Second
 )
 
-// coldTolerance and the rate of cold engines are those of a deployment of 91 boxes.
+// coldTolerance, and coldRate in requests per second, are the values of a deployment of 91 boxes.
 var coldTolerance = dispatch.ColdTolerance{Overage: 1.5, Slack: 5}
 
 const coldRate = 6.6
 
-// allowedPerSecond is the most requests that a cold engine may get in any second.
+// allowedPerSecond returns the most requests that a cold engine may get in any second.
 func allowedPerSecond() float64 { return coldRate*coldTolerance.Overage + coldTolerance.Slack }
 
-// joinCold lists an engine that is cold.
+// joinCold adds a cold engine to the fleet and the store.
 func (n *noticeFleet) joinCold(id string) {
 	n.addEngine(id)
 	n.put("servers/"+id, id+coldSuffix)
 }
 
 func (n *noticeFleet) addEngine(id string) {
-	life, end := context.WithCancel(context.Background())
+	alive, kill := context.WithCancel(context.Background())
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
-	n.engines[id] = &noticeEngine{life: life, end: end, asked: map[int]time.Time{}, told: map[int]time.Time{}, limitTold: map[int]time.Time{}}
+	n.engines[id] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingToldAt: map[int]time.Time{}, limitToldAt: map[int]time.Time{}}
 }
 
-// worstSecond returns the most requests that an engine got in any second until a time, and how many it got in all.
+// worstSecond returns the most requests that an engine got in any second until a time, and all that it got by then.
 func (n *noticeFleet) worstSecond(id string, until time.Time) (worst, all int) {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
-	arrivals := n.engines[id].all
+	arrivals := n.engines[id].allArrivals
 	first := 0
 	for last, at := range arrivals {
 		if at.After(until) {
@@ -58,20 +58,20 @@
 }
 
 var _ = Describe("engines that are cold", func() {
-	DescribeTable("get over all boxes no more than they bear in any second, and not much less, beside a burst that begins with them", func(size smallFleetSize) {
+	DescribeTable("get in any second no more from all boxes than they can take, and not much less, in a burst that begins as they join", func(size smallFleetSize) {
 		if size.boxes > *crashBoxes {
 			Skip("more boxes than -crash-boxes")
 		}
 		if raceDetector && size.boxes > raceSize.boxes {
 			size = raceSize
 		}
-		withNoticeFleet(size, noticeWay{rests: fleet.DefaultRests, coldPerSecond: coldRate}, func(n *noticeFleet) {
+		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests, coldPerSecond: coldRate}, func(n *noticeFleet) {
 			joining := max(2, size.upstreams/4)
 			for k := range joining {
 				n.joinCold(fmt.Sprint("c", k))
 			}
 			begun := time.Now()
-			n.askForModel(25*float64(size.upstreams+joining), coldTime+time.Second)
+			n.sendModelRequests(25*float64(size.upstreams+joining), coldTime+time.Second)
 			n.callers.Wait()
 			worst, all := 0, 0
 			for k := range joining {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,7 +22,7 @@
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// testConfig is a box on a store whose records name upstreams.
+// testConfig returns the configuration of a box on a store. The value of an upstream's record is the upstream's id.
 func testConfig(name, hall, address string, store kv.Store, dial dialFunc) Config {
 	return Config{
 		Name: name, Hall: hall, Cores: 0.2, PeerAddress: address,
--- a/internal/node/crash_callers_test.go
+++ b/internal/node/crash_callers_test.go
@@ -12,8 +12,8 @@
 	"ospreymoor.example/ospreymoor/internal/gateway"
 )
 
-// ask sends a request to a box and returns how it ended, as outcomes name it, and a refusal's Retry-After.
-func (c *crashFleet) ask(n int, id, body string) (outcome string, retryAfter time.Duration) {
+// sendRequest sends a request to a box. It returns its outcome, and the Retry-After of a refusal.
+func (c *crashFleet) sendRequest(n int, id, body string) (outcome string, retryAfter time.Duration) {
 	answer := httptest.NewRecorder()
 	now := time.Now()
 	request := &gateway.Request{
@@ -33,7 +33,7 @@
 	return refused, retryAfter
 }
 
-// The outcomes of requests.
+// Outcomes of requests.
 const (
 	served  = "served"
 	broken  = "broken"
@@ -41,67 +41,70 @@
 	refused = "refused"
 )
 
-// outcome counts how a caller's request ended.
-func (c *crashFleet) outcome(name string) {
+// countOutcome counts the outcome of a caller's request.
+func (c *crashFleet) countOutcome(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[name]++
 }
 
-// askInnocents has callers ask for other things at any box for a time, that many a second. Each comes again once.
-func (c *crashFleet) askInnocents(perSecond int, span time.Duration, boxes func(*rand.Rand) int) {
+// sendHarmless has callers send harmless requests to the boxes that the function boxes chooses, for a time and at
+// a rate. A caller that is refused tries once more.
+func (c *crashFleet) sendHarmless(perSecond int, span time.Duration, boxes func(*rand.Rand) int) {
 	c.callers.Go(func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for n := range int(span.Seconds()) * perSecond {
 			first, second := boxes(random), boxes(random)
-			c.callers.Go(func() { c.askTwice(fmt.Sprint("innocent ", n), first, second) })
+			c.callers.Go(func() { c.sendWithRetry(fmt.Sprint("innocent ", n), first, second) })
 			time.Sleep(time.Second / time.Duration(perSecond))
 		}
 	})
 }
 
-func (c *crashFleet) askTwice(body string, first, second int) {
-	outcome, wait := c.ask(first, body+" first", body)
+// sendWithRetry sends a request and, if it is held or refused, sends it once more to a second box.
+func (c *crashFleet) sendWithRetry(body string, first, second int) {
+	outcome, wait := c.sendRequest(first, body+" first", body)
 	if outcome == held || outcome == refused {
 		time.Sleep(min(wait, 3*time.Second))
-		outcome, _ = c.ask(second, body+" second", body)
+		outcome, _ = c.sendRequest(second, body+" second", body)
 		outcome += " at its return"
 	}
-	c.outcome(outcome)
+	c.countOutcome(outcome)
 	if outcome == held+" at its return" {
 		c.mu.Lock()
-		c.heldAfter = append(c.heldAfter, c.under[body])
+		c.crashesOfHeld = append(c.crashesOfHeld, c.crashesDuring[body])
 		c.mu.Unlock()
 	}
 }
 
-// askAgain has a caller send a request at any box, again and again, as one that crashes upstreams.
-func (c *crashFleet) askAgain(body string, times int, every time.Duration, boxes func(*rand.Rand) int) {
+// sendRepeatedly has a caller send a request with the same body several times, each time under a new id and to a box
+// that the function boxes chooses. Outcomes are counted only if the request does not crash upstreams.
+func (c *crashFleet) sendRepeatedly(body string, times int, every time.Duration, boxes func(*rand.Rand) int) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for n := range times {
 		box := boxes(random)
 		c.callers.Go(func() {
-			outcome, _ := c.ask(box, fmt.Sprint(body, " ", n, " ", time.Now().UnixNano()), body)
-			if !strings.HasPrefix(body, guilty) {
-				c.outcome(outcome)
+			outcome, _ := c.sendRequest(box, fmt.Sprint(body, " ", n, " ", time.Now().UnixNano()), body)
+			if !strings.HasPrefix(body, crashingPrefix) {
+				c.countOutcome(outcome)
 			}
 		})
 		time.Sleep(every)
 	}
 }
 
-// anyBox returns a box at random.
-func (c *crashFleet) anyBox(random *rand.Rand) int { return random.IntN(c.boxes) }
+// randomBox returns the number of a random box.
+func (c *crashFleet) randomBox(random *rand.Rand) int { return random.IntN(c.boxes) }
 
-// crashCount is how many upstreams crashed so far.
+// crashCount returns how many crashes of upstreams there were so far.
 func (c *crashFleet) crashCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.crashes)
 }
 
-// sentTooLate counts how often a request reached upstreams when every box in touch must have known of the third that crashed
-// under it, over all requests.
+// sentTooLate counts the requests that reached an upstream later than propagationTime after the third crash under the
+// same request. By then every connected box must know of that crash.
 func (c *crashFleet) sentTooLate() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,8 +113,8 @@
 		if len(crashes) < 3 || body == "" {
 			continue
 		}
-		for _, at := range c.sent[body] {
-			if at.After(crashes[2].Add(touchTime)) {
+		for _, at := range c.received[body] {
+			if at.After(crashes[2].Add(propagationTime)) {
 				count++
 			}
 		}
--- a/internal/node/crash_fleet_test.go
+++ b/internal/node/crash_fleet_test.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	// crashDelay is how long an upstream runs a request that crashes it, and restartTime how long it is away then.
-	// Measured on a recorded day: 0.04 to 0.2 s, and 3.5 s.
+	// crashDelay is how long an upstream runs a request that crashes it, and restartTime how long it is down afterwards.
+	// On a recorded day these were 0.04 to 0.2 s, and 3.5 s.
 	crashDelay  = 60 * time.Millisecond
 	restartTime = 3500 * time.Millisecond
 	// eventGap is the time between two of the eventsPerAnswer events of an answer.
 	eventGap        = 100 * time.Millisecond
 	eventsPerAnswer = 12
-	// touchTime is after how long every box that is in touch must know what the fleet knows.
-	touchTime = 3 * time.Second
+	// propagationTime is how long a change may take to reach every connected box.
+	propagationTime = 3 * time.Second
 )
 
-// crashFleet is boxes before upstreams that crash under one request.
+// crashFleet is a fleet of boxes with upstreams that crash under certain requests.
 type crashFleet struct {
 	boxes, halls int
 	store        kv.Store
@@ -47,42 +47,43 @@
 
 	mu        sync.Mutex
 	upstreams map[string]*crashUpstream
-	// cut are the halls that nobody outside reaches, the store neither.
-	cut map[string]bool
-	// crashes are when upstreams crashed.
+	// partitioned holds the halls that are separated from all others and from the store.
+	partitioned map[string]bool
+	// crashes holds the times of all crashes.
 	crashes []time.Time
-	// crashedUnder and sent are when upstreams crashed under a request and when it reached one that was up, by its body.
-	crashedUnder, sent map[string][]time.Time
-	outcomes           map[string]int
-	// under counts the crashes that each request was under way at, by its body.
-	under map[string]int
-	// heldAfter are at how many crashes each innocent request was under way that was not served.
-	heldAfter []int
-	// policy is that of all boxes, and alone means that they do not tell each other.
-	policy quarantine.Policy
-	alone  bool
-	// tune changes a box's configuration and tuneNode the box, before it runs; nil changes nothing.
+	// crashedUnder holds the times of crashes under a request, and received when it reached an upstream that was up.
+	// Both are by the request's body.
+	crashedUnder, received map[string][]time.Time
+	outcomes               map[string]int
+	// crashesDuring counts the crashes of upstreams that ran a request at that moment, by the request's body.
+	crashesDuring map[string]int
+	// crashesOfHeld has the number of such crashes for each harmless request that was held twice.
+	crashesOfHeld []int
+	// policy is the quarantine policy of all boxes. If isolated is set, they do not report crashes to each other.
+	policy   quarantine.Policy
+	isolated bool
+	// tune changes a box's configuration, and tuneNode the box before it runs; nil changes nothing.
 	tune     func(*Config)
 	tuneNode func(*Node)
 }
 
-// crashUpstream is one upstream; each crash ends its life.
+// crashUpstream is one upstream. A crash ends the context alive; a restart makes a new one.
 type crashUpstream struct {
 	up bool
-	// running are the requests under way, by their body.
+	// running counts the requests that are running, by their body.
 	running map[string]int
-	life    context.Context
-	end     context.CancelFunc
+	alive   context.Context
+	kill    context.CancelFunc
 }
 
-// withCrashFleet runs f on a fleet in a bubble.
+// withCrashFleet runs f on a fleet in a bubble. It calls before ahead of starting the boxes.
 func withCrashFleet(size smallFleetSize, before, f func(*crashFleet)) {
 	boxes := size.boxes
 	spectest.Bubble(func() {
 		c := &crashFleet{
-			policy: quarantine.DefaultPolicy, crashedUnder: map[string][]time.Time{}, sent: map[string][]time.Time{},
-			boxes: boxes, halls: size.halls, store: kv.NewMemory().Store(), upstreams: map[string]*crashUpstream{}, cut: map[string]bool{},
-			outcomes: map[string]int{}, under: map[string]int{}, nodes: make([]*Node, boxes), stops: make([]context.CancelFunc, boxes),
+			policy: quarantine.DefaultPolicy, crashedUnder: map[string][]time.Time{}, received: map[string][]time.Time{},
+			boxes: boxes, halls: size.halls, store: kv.NewMemory().Store(), upstreams: map[string]*crashUpstream{}, partitioned: map[string]bool{},
+			outcomes: map[string]int{}, crashesDuring: map[string]int{}, nodes: make([]*Node, boxes), stops: make([]context.CancelFunc, boxes),
 		}
 		c.put("config", "1")
 		for n := range size.upstreams {
@@ -100,9 +101,9 @@
 				c.stops[n]()
 			}
 			c.running.Wait()
-			time.Sleep(time.Minute) // What was begun for a term ends with it.
+			time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 		}()
-		time.Sleep(8 * time.Second) // Until relays are found.
+		time.Sleep(8 * time.Second) // Until each hall's relay is known.
 		f(c)
 	})
 }
@@ -114,7 +115,7 @@
 
 func (c *crashFleet) hallOf(n int) string { return fmt.Sprint("z", n%c.halls) }
 
-// start runs a box, also one that ran before.
+// start starts a box, or restarts it.
 func (c *crashFleet) start(n int) {
 	name, address := smallBoxName(n), smallBoxAddress(n)
 	config := testConfig(name, c.hallOf(n), address, c.storeOf(c.hallOf(n)), c.dial(c.hallOf(n)))
@@ -127,7 +128,7 @@
 	}
 	config.Retries = gateway.RetryLimits{Ratio: 0.2, Slack: 1000}
 	config.Upstreams = gateway.Upstreams{
-		Send: c.send, Refuses: c.refuses, Forget: func(string) {}, Engines: residency.Engines{},
+		Send: c.sendToUpstream, Refuses: c.refuses, Forget: func(string) {}, Engines: residency.Engines{},
 	}
 	config.Quarantine = c.policy
 	if c.tune != nil {
@@ -137,7 +138,7 @@
 	if c.tuneNode != nil {
 		c.tuneNode(node)
 	}
-	if c.alone {
+	if c.isolated {
 		node.Gateway.Quarantine = quarantine.NewRegister(c.policy)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -149,15 +150,16 @@
 	})
 }
 
-// restart has an upstream take requests again.
+// restart makes an upstream accept requests again.
 func (c *crashFleet) restart(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	life, end := context.WithCancel(context.Background())
-	*c.upstreams[id] = crashUpstream{up: true, running: map[string]int{}, life: life, end: end}
+	alive, kill := context.WithCancel(context.Background())
+	*c.upstreams[id] = crashUpstream{up: true, running: map[string]int{}, alive: alive, kill: kill}
 }
 
-// crash ends an upstream with all that it runs, for restartTime; body is that of the request under which it does, if it is one.
+// crash ends an upstream and all requests that it runs, and restarts it after restartTime. The body is that of the
+// request that crashes it, or empty.
 func (c *crashFleet) crash(id, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,10 +169,10 @@
 	}
 	c.crashedUnder[body] = append(c.crashedUnder[body], time.Now())
 	upstream.up = false
-	upstream.end()
+	upstream.kill()
 	c.crashes = append(c.crashes, time.Now())
 	for body := range upstream.running {
-		c.under[body]++
+		c.crashesDuring[body]++
 	}
 	c.callers.Go(func() {
 		time.Sleep(restartTime)
@@ -178,7 +180,7 @@
 	})
 }
 
-// crashTogether ends one upstream of every so many at the same moment.
+// crashTogether crashes every n-th upstream at the same moment, where n is every.
 func (c *crashFleet) crashTogether(every int) {
 	for n, id := range slices.Sorted(maps.Keys(c.upstreams)) {
 		if n%every == 0 {
@@ -193,15 +195,15 @@
 	return !c.upstreams[of.ID].up
 }
 
-// guilty begins the bodies under which upstreams crash.
-const guilty = "guilty"
+// crashingPrefix begins the bodies of requests that crash upstreams.
+const crashingPrefix = "guilty"
 
-func (c *crashFleet) send(ctx context.Context, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
+func (c *crashFleet) sendToUpstream(ctx context.Context, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
 	body := string(attempt.Request.Body)
 	c.mu.Lock()
 	upstream := *c.upstreams[to.ID]
 	if upstream.up {
-		c.sent[body] = append(c.sent[body], time.Now())
+		c.received[body] = append(c.received[body], time.Now())
 		upstream.running[body]++
 	}
 	c.mu.Unlock()
@@ -212,10 +214,10 @@
 	c.callers.Go(func() {
 		stop := context.AfterFunc(ctx, func() { _ = writer.CloseWithError(io.ErrUnexpectedEOF) })
 		defer stop()
-		if strings.HasPrefix(body, guilty) && pause.For(ctx, crashDelay) == nil {
+		if strings.HasPrefix(body, crashingPrefix) && pause.For(ctx, crashDelay) == nil {
 			c.crash(to.ID, body)
 		}
-		err := writeEvents(upstream.life, writer, attempt.LastEventID)
+		err := writeEvents(upstream.alive, writer, attempt.LastEventID)
 		c.mu.Lock()
 		if upstream.running[body]--; upstream.running[body] == 0 {
 			delete(upstream.running, body)
@@ -226,12 +228,12 @@
 	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Body: reader}, nil
 }
 
-// writeEvents writes the events after the last one until the upstream's life ends.
-func writeEvents(life context.Context, w io.Writer, last string) error {
+// writeEvents writes the events of an answer that follow the event with the id last. It fails when alive ends.
+func writeEvents(alive context.Context, w io.Writer, last string) error {
 	n := 0
 	_, _ = fmt.Sscan(last, &n)
 	for n++; n <= eventsPerAnswer; n++ {
-		if pause.For(life, eventGap) != nil {
+		if pause.For(alive, eventGap) != nil {
 			return io.ErrUnexpectedEOF
 		}
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %d\n\n", n, n); err != nil {
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -11,19 +11,14 @@
 	"ospreymoor.example/ospreymoor/pkg/quarantine"
 )
 
-// crashBoxes is up to how many boxes the specs of crashes run with; 515 take a minute.
+// crashBoxes is the size of the largest fleet that the specs of crashes run with, in boxes; 515 take a minute.
 var crashBoxes = flag.Int("crash-boxes", 60, "how many boxes the specs of crashes run with at most")
 
-// A caller sent a request again every two seconds, each time at another of 7 boxes, and each engine that began to run it crashed
-// 0.04 to 0.2 s later. Each box took it for a new request, since it came under a new id, and sent it to a second engine when the
-// first was gone:
-//
-//	37.722 front-bp-a-1 {"msg":"attempt failed","backend":"i-ce16261945","sending":1,"status":200,"took":0.127,"running":6,"error":"unexpected EOF"}
-//	37.829 front-bp-a-1 {"msg":"attempt failed","backend":"i-ad2214de1a","sending":2,"status":200,"took":0.234,"running":10,"error":"unexpected EOF"}
-//	37.829 front-bp-a-1 {"msg":"request ended","sendings":2,"tries":2,"status":503,"reason":"answer broken"}
-//
-// 19 engines ended so within 11 s, 182 other requests were under way at them, and half of the requests of those seconds were not
-// served. Nothing of one try was known at the next.
+// These specs guard against a request that crashes one engine after the other. A caller sent it again every two
+// seconds under a new id, each time to another of 7 boxes. Each engine crashed 0.04 to 0.2 s after it began to run
+// the request. No box knew of earlier attempts, so each took it for a new request and sent it to a second engine
+// when the first had crashed. Within 11 s, 19 engines crashed with 182 other requests running, and half of the
+// requests of those seconds were not served.
 var _ = Describe("a request under which upstreams crash", func() {
 	sizes := func(size smallFleetSize, f func(*crashFleet)) {
 		if size.boxes > *crashBoxes {
@@ -35,20 +30,20 @@
 		withCrashFleet(size, func(*crashFleet) {}, f)
 	}
 
-	DescribeTable("is kept away from them by every box", func(size smallFleetSize, innocents int) {
+	DescribeTable("is sent to no upstream soon after the third crash, in a fleet", func(size smallFleetSize, harmlessPerSecond int) {
 		sizes(size, func(c *crashFleet) {
-			const comes, every = 20, 2 * time.Second
-			c.askInnocents(innocents, comes*every, c.anyBox)
-			c.askAgain(guilty, comes, every, c.anyBox)
+			const times, every = 20, 2 * time.Second
+			c.sendHarmless(harmlessPerSecond, times*every, c.randomBox)
+			c.sendRepeatedly(crashingPrefix, times, every, c.randomBox)
 			c.callers.Wait()
 			GinkgoWriter.Printf("%d crashes, others ended: %v\n", c.crashCount(), c.outcomes)
 			Expect(c.crashCount()).To(BeNumerically(">=", 3))
 			Expect(c.sentTooLate()).To(BeZero())
 			Expect(c.crashCount()).To(BeNumerically("<=", 4))
-			Expect(c.outcomes[refused+" at its return"]).To(BeZero(), "others that are not served")
-			// One that ran beside it at as many upstreams that crashed as hold a request is held like it.
-			for _, crashes := range c.heldAfter {
-				Expect(crashes).To(BeNumerically(">=", quarantine.DefaultPolicy.PauseAfter), "another that is held")
+			Expect(c.outcomes[refused+" at its return"]).To(BeZero(), "harmless requests that are refused twice")
+			// A harmless request may be held only if it was running at PauseAfter crashes, like the one that caused them.
+			for _, crashes := range c.crashesOfHeld {
+				Expect(crashes).To(BeNumerically(">=", quarantine.DefaultPolicy.PauseAfter), "crashes during a harmless request that is held")
 			}
 		})
 	},
@@ -59,11 +54,13 @@
 
 	seven := smallFleetSize{boxes: 7, halls: 4, upstreams: 18}
 
-	It("is not one that all ask for when some of them fall together", func() {
+	It("is told apart from one that many callers send while a third of the upstreams crash together", func() {
 		withCrashFleet(seven, func(*crashFleet) {}, func(c *crashFleet) {
 			const span = 12 * time.Second
 			for range 10 {
-				c.callers.Go(func() { c.askAgain("the same", int(span/(20*time.Millisecond)), 20*time.Millisecond, c.anyBox) })
+				c.callers.Go(func() {
+					c.sendRepeatedly("the same", int(span/(20*time.Millisecond)), 20*time.Millisecond, c.randomBox)
+				})
 			}
 			for range 3 {
 				time.Sleep(span / 4)
@@ -74,9 +71,9 @@
 		})
 	})
 
-	It("stays away after every box has started again", func() {
+	It("is still held after all boxes have restarted", func() {
 		sizes(seven, func(c *crashFleet) {
-			c.askAgain(guilty, 5, 2*time.Second, c.anyBox)
+			c.sendRepeatedly(crashingPrefix, 5, 2*time.Second, c.randomBox)
 			crashes := c.crashCount()
 			for n := range c.boxes {
 				c.stops[n]()
@@ -85,30 +82,30 @@
 			for n := range c.boxes {
 				c.start(n)
 			}
-			time.Sleep(touchTime)
-			c.askAgain(guilty, 5, 2*time.Second, c.anyBox)
+			time.Sleep(propagationTime)
+			c.sendRepeatedly(crashingPrefix, 5, 2*time.Second, c.randomBox)
 			Expect(c.crashCount()).To(Equal(crashes))
 		})
 	})
 
-	It("is known to a hall that was cut off meanwhile soon after it is back", func() {
+	It("is held in a hall soon after a network partition that hid the crashes from it", func() {
 		sizes(seven, func(c *crashFleet) {
 			inHall := func(hall string) func(*rand.Rand) int {
 				return func(random *rand.Rand) int {
 					for {
-						if n := c.anyBox(random); (c.hallOf(n) == hall) == (hall == "z3") {
+						if n := c.randomBox(random); (c.hallOf(n) == hall) == (hall == "z3") {
 							return n
 						}
 					}
 				}
 			}
-			c.setCut("z3", true)
-			time.Sleep(touchTime)
-			c.askAgain(guilty, 5, 2*time.Second, inHall("others"))
+			c.setPartition("z3", true)
+			time.Sleep(propagationTime)
+			c.sendRepeatedly(crashingPrefix, 5, 2*time.Second, inHall("others"))
 			crashes := c.crashCount()
-			c.setCut("z3", false)
-			time.Sleep(touchTime)
-			c.askAgain(guilty, 5, 2*time.Second, inHall("z3"))
+			c.setPartition("z3", false)
+			time.Sleep(propagationTime)
+			c.sendRepeatedly(crashingPrefix, 5, 2*time.Second, inHall("z3"))
 			Expect(c.crashCount()).To(Equal(crashes))
 		})
 	})
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,9 +1,9 @@
-// Package node puts one box of `ospreymoor node` together and runs it.
+// Package node assembles one box of `ospreymoor node` and runs it.
 //
-// It alone knows all parts: the request path (internal/gateway), what is known of the other boxes
-// (internal/cluster), the order lease (internal/orderlease), the view of the store
-// (internal/storeview) and the controller of the engines (pkg/residency). It decides nothing but the
-// order in which they are made, started and stopped. platform/ gives it its ports.
+// It is the only package that knows all components: the request path (internal/gateway), the state of the
+// other boxes (internal/cluster), the order lease (internal/orderlease), the view of the store
+// (internal/storeview) and the controller of the engines (pkg/residency). It only decides the order in
+// which they are created, started and stopped. platform/ supplies the adapters to the outside.
 //
-// Its look-alike of `ospreymoor serve` is internal/box.
+// Its counterpart for `ospreymoor serve` is internal/box.
 package node
--- a/internal/node/limit_fleet_test.go
+++ b/internal/node/limit_fleet_test.go
@@ -6,44 +6,48 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// namedLimit is a limit that an engine's answers named from a time on; below 0 they named none.
-type namedLimit struct {
+// statedLimit is the limit, in requests per second, that an engine's answers state from a time on. A negative
+// perSecond means that they state none.
+type statedLimit struct {
 	perSecond float64
 	from      time.Time
 }
 
-// Bounds of the platform on what an engine with a limit gets.
+// Bounds that the platform sets for the requests that an engine with a limit gets.
 const (
-	// limitGrace is how long after it passed on an answer with a limit a box counts, and limitSettled how long after the first such answer
-	// of an engine what it gets is bounded.
+	// limitGrace is how long after its first answer with a limit the requests of a box begin to count. limitSettled is
+	// how long after an engine first states a limit its requests begin to be checked.
 	limitGrace   = 500 * time.Millisecond
 	limitSettled = 3 * time.Second
-	// limitWindow is the time in which requests are counted, limitOverage the factor on what the limit allows in it, and limitSlack how
-	// many requests more are allowed.
+	// limitWindow is the time in which requests are counted. In it, limitOverage times the limit and limitSlack more
+	// requests are allowed.
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
 )
 
-// tellLimit has an answer to a box name the engine's limit. The caller holds the fleet's lock.
-func (e *noticeEngine) tellLimit(box int, now time.Time, notice *fleet.Notice) {
+// addLimit adds the engine's limit to the notice in an answer to a box. The caller holds the fleet's noticeMu.
+func (e *noticeEngine) addLimit(box int, now time.Time, notice *fleet.Notice) {
 	if len(e.limits) == 0 || e.limits[len(e.limits)-1].perSecond < 0 {
 		notice.Unlimited = true
 		return
 	}
 	limit := e.limits[len(e.limits)-1].perSecond
 	notice.Limit = &limit
-	if _, ok := e.limitTold[box]; !ok {
-		e.limitTold[box] = now
+	if _, ok := e.limitToldAt[box]; !ok {
+		e.limitToldAt[box] = now
 	}
 }
 
-// nameLimit has every so manieth engine name a limit from now on; below 0 they name none.
-func (n *noticeFleet) nameLimit(every int, perSecond float64) {
-	n.some(every, func(e *noticeEngine) { e.limits = append(e.limits, namedLimit{perSecond: perSecond, from: time.Now()}) })
+// setLimit makes every n-th engine, where n is every, state a limit from now on; a negative one means none.
+func (n *noticeFleet) setLimit(every int, perSecond float64) {
+	n.eachNth(every, func(e *noticeEngine) {
+		e.limits = append(e.limits, statedLimit{perSecond: perSecond, from: time.Now()})
+	})
 }
 
-// highestLimit is the highest limit that an engine named at some time in a span, and false if it named none in a part of it.
+// highestLimit returns the highest limit that an engine stated in a span of time, and whether it stated one all the
+// time.
 func (e *noticeEngine) highestLimit(from, until time.Time) (highest float64, always bool) {
 	always = len(e.limits) > 0 && !from.Before(e.limits[0].from)
 	for k, limit := range e.limits {
@@ -57,23 +61,25 @@
 	return highest, always
 }
 
-// limitCount is what engines with limits got.
+// limitCount counts the requests that engines with limits got.
 type limitCount struct {
-	// over counts the windows, one for each request at their end, that had more requests of boxes that were told than allowed; worst is the
-	// most beyond it in one.
-	over  int
-	worst float64
-	// overOfAll counts the windows that had more requests of all boxes than that.
-	overOfAll int
-	// got is what all of them got while they named a limit, and untold the part of it that came from boxes that no answer had told.
-	got, untold int
-	// afterEnd is what they got later than limitGrace after their limit had ended.
+	// exceeded counts the windows with more requests than allowed from boxes that had received the limit. There is one
+	// window for each request, which ends with it. worstExcess is the largest excess in a window.
+	exceeded    int
+	worstExcess float64
+	// exceededByAll counts the windows with more requests than allowed from all boxes.
+	exceededByAll int
+	// received counts the requests while the engines stated a limit, and uninformed those of them that came from boxes
+	// that no answer had told the limit yet.
+	received, uninformed int
+	// afterEnd counts the requests later than limitGrace after the end of a limit.
 	afterEnd int
-	// allowed is what the limits alone, without overage and slack, allow over that time.
+	// allowed is the number of requests that the limits allow over that time, without overage and slack.
 	allowed float64
 }
 
-// countLimited counts what the engines that named a limit got until now, of all boxes but those that are excused.
+// countLimited counts the requests until now at engines that stated a limit. It checks those of all boxes except the
+// excused ones against the limit.
 func (n *noticeFleet) countLimited(excused func(box int) bool) limitCount {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
@@ -86,16 +92,16 @@
 	return count
 }
 
-// within drops the times that are out of the window that ends at a time.
-func within(times []time.Time, end time.Time) []time.Time {
+// inWindow drops the times before the window that ends at a time.
+func inWindow(times []time.Time, end time.Time) []time.Time {
 	for len(times) > 0 && end.Sub(times[0]) > limitWindow {
 		times = times[1:]
 	}
 	return times
 }
 
-// beyond is by how much the requests of one window are more than allowed; 0 or less where they are not.
-func (e *noticeEngine) beyond(window []time.Time) float64 {
+// excess returns how many requests more than allowed a window has; 0 or less means that all are allowed.
+func (e *noticeEngine) excess(window []time.Time) float64 {
 	end := window[len(window)-1]
 	highest, always := e.highestLimit(end.Add(-limitWindow-limitGrace), end)
 	if !always {
@@ -107,32 +113,32 @@
 func (e *noticeEngine) countLimit(count *limitCount, now time.Time, excused func(box int) bool) {
 	settled := e.limits[0].from.Add(limitSettled)
 	var ofTold, ofAll []time.Time
-	for k, at := range e.all {
+	for k, at := range e.allArrivals {
 		if _, named := e.highestLimit(at, at); !named {
 			if at.Sub(e.limits[len(e.limits)-1].from) > limitGrace {
 				count.afterEnd++
 			}
 			continue
 		}
-		count.got++
-		told, isTold := e.limitTold[e.sentBy[k]]
+		count.received++
+		told, isTold := e.limitToldAt[e.sentBy[k]]
 		if !isTold || !at.After(told) {
-			count.untold++
+			count.uninformed++
 		}
 		if at.Before(settled) || excused(e.sentBy[k]) {
 			continue
 		}
-		ofAll = append(within(ofAll, at), at)
-		if e.beyond(ofAll) > 0 {
-			count.overOfAll++
+		ofAll = append(inWindow(ofAll, at), at)
+		if e.excess(ofAll) > 0 {
+			count.exceededByAll++
 		}
 		if !isTold || at.Sub(told) < limitGrace {
 			continue
 		}
-		ofTold = append(within(ofTold, at), at)
-		if beyond := e.beyond(ofTold); beyond > 0 {
-			count.over++
-			count.worst = max(count.worst, beyond)
+		ofTold = append(inWindow(ofTold, at), at)
+		if excess := e.excess(ofTold); excess > 0 {
+			count.exceeded++
+			count.worstExcess = max(count.worstExcess, excess)
 		}
 	}
 	for k, limit := range e.limits {
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -12,23 +12,23 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-var _ = Describe("engines that name a limit", func() {
-	DescribeTable("get no more than it over all boxes, and not much less, and others serve", func(size smallFleetSize) {
+var _ = Describe("engines that state a limit", func() {
+	DescribeTable("get no more than it from all boxes together, and not much less, while others serve", func(size smallFleetSize) {
 		if size.boxes > *crashBoxes {
 			Skip("more boxes than -crash-boxes")
 		}
 		if raceDetector && size.boxes > raceSize.boxes {
 			size = raceSize
 		}
-		withNoticeFleet(size, noticeWay{rests: fleet.DefaultRests}, func(n *noticeFleet) {
-			n.nameLimit(6, 1)
-			n.askForModel(6*float64(size.upstreams), 12*time.Second)
+		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests}, func(n *noticeFleet) {
+			n.setLimit(6, 1)
+			n.sendModelRequests(6*float64(size.upstreams), 12*time.Second)
 			n.callers.Wait()
 			count := n.countLimited(func(int) bool { return false })
 			GinkgoWriter.Printf("%+v, requests ended: %v\n", count, n.outcomes)
-			Expect(count.over).To(BeZero(), "windows with more requests than allowed, by up to %v", count.worst)
-			Expect(count.overOfAll).To(BeZero(), "the same, of boxes told or not")
-			Expect(float64(count.got)).To(BeNumerically(">=", 0.7*count.allowed), "engines left idle")
+			Expect(count.exceeded).To(BeZero(), "windows with more requests than allowed, by up to %v", count.worstExcess)
+			Expect(count.exceededByAll).To(BeZero(), "windows with more requests of all boxes than allowed")
+			Expect(float64(count.received)).To(BeNumerically(">=", 0.7*count.allowed), "engines left idle")
 			Expect(n.outcomes[refused+" at its return"]+n.outcomes[broken]).To(BeNumerically("<=", n.outcomes[served]/200), "not served")
 		})
 	},
@@ -37,20 +37,20 @@
 		Entry("at 515 boxes", smallFleetSize{boxes: 515, halls: 7, upstreams: 600}),
 	)
 
-	It("show in lines alone what each named, to which box, by which answer, what was sent under it and when it ended", func() {
+	It("can be followed by log lines alone: which limit each stated to which box in which answer, what was sent under it and when it ended", func() {
 		core, lines := observer.New(zap.InfoLevel)
-		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, noticeWay{rests: fleet.DefaultRests}, core, func(n *noticeFleet) {
+		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, noticeVariant{backoffRules: fleet.DefaultRests}, core, func(n *noticeFleet) {
 			const limited = "e000"
 			ask := func(requests int) {
 				for k := range requests {
-					n.callers.Go(func() { n.askOnce(k%n.boxes, fmt.Sprint(k)) })
+					n.callers.Go(func() { n.sendModelRequest(k%n.boxes, fmt.Sprint(k)) })
 					time.Sleep(5 * time.Millisecond)
 				}
 				n.callers.Wait()
 			}
-			n.nameLimit(18, 2.5)
+			n.setLimit(18, 2.5)
 			ask(800)
-			n.nameLimit(18, -1)
+			n.setLimit(18, -1)
 			time.Sleep(4 * time.Second)
 			ask(800)
 			named, ended := map[any]bool{}, map[any]bool{}
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -14,22 +14,23 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// limitWays has the ways compared that docs/design/notices.md has figures of.
+// limitWays selects the variants to compare. docs/design/notices.md has their results.
 var limitWays = flag.String("limit-ways", "", "compare ways to keep to limits that upstreams name: those whose row matches, by boxes, load and way")
 
-// limitWay changes how a box keeps to limits; nil is the way in use.
-type limitWay struct {
+// limitVariant is one way to keep to limits.
+type limitVariant struct {
 	name string
+	// tune changes a box before it runs; nil leaves the way in use.
 	tune func(n *noticeFleet, box *Node)
-	// unread drops all that engines tell.
-	unread bool
+	// ignoreNotices makes boxes ignore all notices of engines.
+	ignoreNotices bool
 }
 
-// askFunc is a box's question whether it may send a request.
-type askFunc = func(context.Context, dispatch.RateAsk) (dispatch.RateGrant, error)
+// askRateFunc asks whether a box may send a request to an engine with a limit.
+type askRateFunc = func(context.Context, dispatch.RateAsk) (dispatch.RateGrant, error)
 
-// untold keeps what a box knows of limits from the others, but for the keepers that it asks.
-func untold(_ *noticeFleet, box *Node) {
+// withoutLimitReports stops a box from reporting limits to other boxes, except to the keepers that it asks.
+func withoutLimitReports(_ *noticeFleet, box *Node) {
 	directory := box.Gateway.Directory
 	logged := directory.OnNotice
 	directory.OnNotice = func(noted fleet.Noted) {
@@ -38,8 +39,9 @@
 	}
 }
 
-// ownAccounts returns the question to accounts of a box's own, for a part of what all may send.
-func ownAccounts(box *Node, share float64) askFunc {
+// ownAccounts returns a function that asks accounts that only this box uses. They grant a share of what all boxes
+// may send.
+func ownAccounts(box *Node, share float64) askRateFunc {
 	accounts := dispatch.NewRateAccounts(coldTolerance)
 	return func(_ context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
 		reports := box.Gateway.Directory.LimitReports([]string{ask.Engine})
@@ -51,8 +53,8 @@
 	}
 }
 
-// keeperCut reports whether a box and the keeper of an engine are on two sides of a cut.
-func (n *noticeFleet) keeperCut(box *Node, engine string) bool {
+// keeperUnreachable reports whether a network partition separates a box from the keeper of an engine.
+func (n *noticeFleet) keeperUnreachable(box *Node, engine string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	own, keeper := -1, -1
@@ -64,76 +66,77 @@
 			keeper = k
 		}
 	}
-	return keeper >= 0 && n.hallOf(own) != n.hallOf(keeper) && (n.cut[n.hallOf(own)] || n.cut[n.hallOf(keeper)])
+	return keeper >= 0 && n.hallOf(own) != n.hallOf(keeper) && (n.partitioned[n.hallOf(own)] || n.partitioned[n.hallOf(keeper)])
 }
 
-// withFallback asks in the place of a keeper that is cut off in another way, nil for none.
-func withFallback(fallback func(n *noticeFleet, box *Node) askFunc) func(*noticeFleet, *Node) {
+// withFallback returns a change of a box that asks the fallback while the keeper is unreachable. With a nil
+// fallback, such a question fails.
+func withFallback(fallback func(n *noticeFleet, box *Node) askRateFunc) func(*noticeFleet, *Node) {
 	return func(n *noticeFleet, box *Node) {
-		asked := box.Gateway.AskRate
-		var other askFunc
+		askKeeper := box.Gateway.AskRate
+		var askFallback askRateFunc
 		if fallback != nil {
-			other = fallback(n, box)
+			askFallback = fallback(n, box)
 		}
 		box.Gateway.AskRate = func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
 			switch {
-			case !n.keeperCut(box, ask.Engine):
-				return asked(ctx, ask)
-			case other == nil:
-				return dispatch.RateGrant{}, errors.New("keeper is cut off")
+			case !n.keeperUnreachable(box, ask.Engine):
+				return askKeeper(ctx, ask)
+			case askFallback == nil:
+				return dispatch.RateGrant{}, errors.New("keeper is unreachable")
 			}
-			return other(ctx, ask)
+			return askFallback(ctx, ask)
 		}
 	}
 }
 
-func waysOfLimits() []limitWay {
-	return []limitWay{
-		{name: "not read", unread: true},
+func limitVariants() []limitVariant {
+	return []limitVariant{
+		{name: "not read", ignoreNotices: true},
 		{name: "fixed parts", tune: func(n *noticeFleet, box *Node) { box.Gateway.AskRate = ownAccounts(box, 1/float64(n.boxes)) }},
 		{name: "each box the whole limit", tune: func(_ *noticeFleet, box *Node) { box.Gateway.AskRate = ownAccounts(box, 1) }},
-		{name: "one keeper, others not told", tune: untold},
+		{name: "one keeper, others not told", tune: withoutLimitReports},
 		{name: "one keeper, nothing without it", tune: withFallback(nil)},
-		{name: "one keeper, without it fixed parts", tune: withFallback(func(n *noticeFleet, box *Node) askFunc {
+		{name: "one keeper, without it fixed parts", tune: withFallback(func(n *noticeFleet, box *Node) askRateFunc {
 			return ownAccounts(box, 1/float64(n.boxes))
 		})},
 		{name: "one keeper, without it the hall's relay"},
 	}
 }
 
-// limitLoadTime is how long callers ask.
+// limitLoadTime is how long callers send requests.
 const limitLoadTime = 14 * time.Second
 
-func loadsOfLimits() []noticeLoad {
-	ask := func(n *noticeFleet, perSecond float64) { n.askForModel(perSecond, limitLoadTime) }
+func limitLoads() []noticeLoad {
+	ask := func(n *noticeFleet, perSecond float64) { n.sendModelRequests(perSecond, limitLoadTime) }
 	return []noticeLoad{
 		{name: "a sixth name 1 a second", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(6, 1)
+			n.setLimit(6, 1)
 			ask(n, perSecond)
 		}},
 		{name: "falls from 8 to 1 after 6 s", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(6, 8)
-			time.AfterFunc(6*time.Second, func() { n.nameLimit(6, 1) })
+			n.setLimit(6, 8)
+			time.AfterFunc(6*time.Second, func() { n.setLimit(6, 1) })
 			ask(n, perSecond)
 		}},
 		{name: "rises from 1 to 4 after 6 s", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(6, 1)
-			time.AfterFunc(6*time.Second, func() { n.nameLimit(6, 4) })
+			n.setLimit(6, 1)
+			time.AfterFunc(6*time.Second, func() { n.setLimit(6, 4) })
 			ask(n, perSecond)
 		}},
 		{name: "ends after 6 s", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(6, 1)
-			time.AfterFunc(6*time.Second, func() { n.nameLimit(6, -1) })
+			n.setLimit(6, 1)
+			time.AfterFunc(6*time.Second, func() { n.setLimit(6, -1) })
 			ask(n, perSecond)
 		}},
 		{name: "all name half of what is asked", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(1, perSecond/float64(len(n.engines))/2)
+			n.setLimit(1, perSecond/float64(len(n.engines))/2)
 			ask(n, perSecond)
 		}},
 		{name: "all name half, a hall cut off from 4 to 10 s", play: func(n *noticeFleet, perSecond float64) {
-			n.nameLimit(1, perSecond/float64(len(n.engines))/2)
-			time.AfterFunc(4*time.Second, func() { n.setCut("z0", true) })
-			time.AfterFunc(10*time.Second, func() { n.setCut("z0", false) })
+			n.setLimit(1, perSecond/float64(len(n.engines))/2)
+			time.AfterFunc(4*time.Second, func() { n.setPartition("z0", true) })
+			time.AfterFunc(10*time.Second, func() { n.setPartition("z0", false) })
 			ask(n, perSecond)
 		}},
 	}
@@ -148,10 +151,10 @@
 		}
 		chosen := regexp.MustCompile(*limitWays)
 		for _, size := range limitSizes {
-			for _, load := range loadsOfLimits() {
-				for _, way := range waysOfLimits() {
-					if chosen.MatchString(fmt.Sprintf("%d, %s, %s", size.boxes, load.name, way.name)) {
-						compareLimitWay(size, load, way)
+			for _, load := range limitLoads() {
+				for _, variant := range limitVariants() {
+					if chosen.MatchString(fmt.Sprintf("%d, %s, %s", size.boxes, load.name, variant.name)) {
+						compareLimitVariant(size, load, variant)
 					}
 				}
 			}
@@ -159,9 +162,9 @@
 	})
 })
 
-// compareLimitWay plays one load with one way and prints a row of the table.
-func compareLimitWay(size smallFleetSize, load noticeLoad, way limitWay) {
-	withNoticeFleet(size, noticeWay{rests: fleet.DefaultRests, unread: way.unread, tune: way.tune}, func(n *noticeFleet) {
+// compareLimitVariant runs one load with one variant and prints a row of the table.
+func compareLimitVariant(size smallFleetSize, load noticeLoad, variant limitVariant) {
+	withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests, ignoreNotices: variant.ignoreNotices, tune: variant.tune}, func(n *noticeFleet) {
 		load.play(n, 6*float64(size.upstreams))
 		n.callers.Wait()
 		count := n.countLimited(func(int) bool { return false })
@@ -169,7 +172,7 @@
 		for _, outcome := range n.outcomes {
 			asked += outcome
 		}
-		fmt.Printf("| %d | %s | %s | %d | %.0f | %d | %d of %.0f | %d | %d | %d | %d of %d |\n", size.boxes, load.name, way.name, count.over, count.worst, count.overOfAll,
-			count.got, count.allowed, count.afterEnd, n.outcomes[served], n.outcomes[served+" at its return"], n.outcomes[refused+" at its return"]+n.outcomes[broken], asked)
+		fmt.Printf("| %d | %s | %s | %d | %.0f | %d | %d of %.0f | %d | %d | %d | %d of %d |\n", size.boxes, load.name, variant.name, count.exceeded, count.worstExcess, count.exceededByAll,
+			count.received, count.allowed, count.afterEnd, n.outcomes[served], n.outcomes[served+" at its return"], n.outcomes[refused+" at its return"]+n.outcomes[broken], asked)
 	})
 }
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -23,20 +23,20 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// shared are the states that several parts work with.
+// shared holds the state that several components use.
 type shared struct {
 	directory *fleet.Directory
 	loads     *dispatch.LoadTracker
 	demand    *residency.Demand
 	pending   *cluster.PendingUpdates
 	members   *cluster.Members
-	// quarantine is what is known of requests under which upstreams crashed.
+	// quarantine records the requests under which upstreams crashed.
 	quarantine *quarantine.Register
 }
 
-// New puts a box together; Run starts it. Each part is made after those that it uses. Two are used
-// by parts that are made before them, and are therefore reached through n at each call: the
-// configuration in force (table) and the copy of the store (state, storeLost).
+// New assembles a box; Run starts it. Each component is created after those that it uses. There are two
+// exceptions, which components created earlier reach through n at each call: the configuration in force
+// (table) and the copy of the store (state, storeLost).
 func New(config Config) *Node {
 	self := cluster.Box{
 		Name:        config.Name,
@@ -56,7 +56,7 @@
 		quarantine: newQuarantine(config),
 	}
 	n.members = s.members
-	n.ordering, n.stopOrdering = context.WithCancel(context.Background())
+	n.orderCtx, n.stopOrdering = context.WithCancel(context.Background())
 	n.client = peer.NewClient(config.PeerSecret, config.Dial, config.Set)
 	n.orderLease = n.newOrderLease(config, s)
 	n.controller = n.newController(config, s)
@@ -72,7 +72,7 @@
 	n.exchange = n.newExchange(config, s)
 	config.Set.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.Holdings.Held()) })
 	config.Set.NewGauge("ospreymoor_evacuated_requests", func() float64 { return evacuatedRequests(s) })
-	n.holds = &storeview.HoldRecorder{
+	n.holdRecorder = &storeview.HoldRecorder{
 		Platform: config.Platform, Quarantine: s.quarantine, Records: n.state, Keeps: s.members.Keeps, Log: config.Log,
 	}
 	n.registration = storeview.NewRegistration(config.Platform, self, config.Log)
@@ -89,7 +89,7 @@
 	return n
 }
 
-// newDirectory returns a directory that counts and logs what upstreams tell in their answers.
+// newDirectory returns a directory that counts and logs the notices of upstreams.
 func newDirectory(config Config) *fleet.Directory {
 	directory := fleet.New()
 	directory.OnNotice = func(noted fleet.Noted) {
@@ -109,7 +109,8 @@
 	return directory
 }
 
-// evacuatedRequests counts the requests of this box that run at upstreams of evacuated halls: a hall is empty once no box has any.
+// evacuatedRequests returns how many requests of this box run at upstreams of evacuated halls. A hall is empty
+// once no box has any there.
 func evacuatedRequests(s shared) float64 {
 	count := 0
 	for id, load := range s.loads.Loads() {
@@ -120,13 +121,13 @@
 	return float64(count)
 }
 
-// table is the configuration in force, nil if there is none.
+// table returns the configuration in force, or nil if there is none.
 func (n *Node) table() *routes.Table { return n.Gateway.Table() }
 
-// state is the copy of the store.
+// state returns this box's copy of the store.
 func (n *Node) state() mirror.State { return n.view.Mirror().State() }
 
-// storeLost reports whether this box could not reach the store at its last try.
+// storeLost reports whether this box's last attempt to reach the store failed.
 func (n *Node) storeLost() bool { return n.view.Mirror().Lost() }
 
 func (n *Node) newOrderLease(config Config, s shared) *orderlease.Lease {
@@ -191,7 +192,8 @@
 	})
 }
 
-// newQuarantine returns what this box knows of requests under which upstreams crashed: nothing yet.
+// newQuarantine returns an empty register of requests under which upstreams crashed. It logs each request that is
+// held, and exports how many are held or suspected.
 func newQuarantine(config Config) *quarantine.Register {
 	register := quarantine.NewRegister(config.Quarantine)
 	register.OnHeld = func(request quarantine.Fingerprint, verdict quarantine.Verdict) {
@@ -220,7 +222,7 @@
 			config.Upstreams.Forget(upstream)
 			s.loads.Forget(upstream)
 		},
-		// Without seeds, or as one of them, there is nobody else to ask at first.
+		// A box without seeds, or that is a seed itself, has no other box to ask for a first copy.
 		ReadsWhole: len(config.Seeds) == 0 || slices.Contains(config.Seeds, config.PeerAddress),
 		Metrics:    config.Set,
 		Log:        config.Log,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,43 +21,43 @@
 	"ospreymoor.example/ospreymoor/pkg/residency"
 )
 
-// Platform is the port to what the platform keeps in its store.
+// Platform gives access to what the platform keeps in its store.
 type Platform = storeview.Platform
 
-// Config is all that one box needs. It has 21 fields because it is the one place of all settings.
+// Config holds the settings and dependencies of one box. It has 21 fields because it is the only place for them.
 type Config struct {
-	// Name of this box, the same after a restart.
+	// Name identifies this box; it stays the same after a restart.
 	Name string
 	Hall string
-	// Regions are those of all halls, by hall.
+	// Regions maps each hall to its region.
 	Regions map[string]string
 	// Cores is the processor time that this box may use, in cores.
 	Cores float64
-	// MemoryBytes is this process's memory; 0 if it is not known.
+	// MemoryBytes is the memory of this process; 0 means unknown.
 	MemoryBytes int64
-	// LinkBytesPerSecond is the rate of this box's link; 0 if it is not known.
+	// LinkBytesPerSecond is the rate of this box's network link; 0 means unknown.
 	LinkBytesPerSecond float64
-	// PeerAddress is where other boxes call this one, IP:PORT.
+	// PeerAddress is the address at which other boxes call this one, as IP:PORT.
 	PeerAddress string
-	// Seeds are peer addresses to ask when the store is away at the start.
+	// Seeds are the peer addresses to ask if the store is unreachable at the start.
 	Seeds      []string
 	PeerSecret string
 	Upstreams  gateway.Upstreams
 	Platform   Platform
 	Retries    gateway.RetryLimits
-	// Quotas is by how much what all boxes spend for a customer may exceed its limit.
+	// Quotas is how far all boxes together may exceed the limit of a customer.
 	Quotas customers.Tolerance
-	// ColdStarts is by how much what all boxes send a cold upstream may exceed what it bears.
+	// ColdStarts is how far all boxes together may exceed the request rate that a cold upstream can take.
 	ColdStarts dispatch.ColdTolerance
-	// Quarantine is the rule on requests under which upstreams crash.
+	// Quarantine is the policy for requests under which upstreams crash.
 	Quarantine quarantine.Policy
-	// OrderGap is how long orders of two boxes to one engine must be apart.
+	// OrderGap is the minimum time between orders of two boxes to one engine.
 	OrderGap time.Duration
 	// LeaseTTL is how long the order lease lasts without a renewal.
 	LeaseTTL time.Duration
-	// MoveCost is what a load must gain at least, in squared engine time.
+	// MoveCost is the least benefit that justifies a load, in squared engine time.
 	MoveCost float64
-	// Dial makes connections to other boxes.
+	// Dial opens connections to other boxes.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Log  *zap.Logger
 	Set  *metrics.Set
@@ -76,42 +76,42 @@
 	controller   *residency.Controller
 	exchange     *cluster.Exchange
 	spender      *customers.Spender
-	holds        *storeview.HoldRecorder
+	holdRecorder *storeview.HoldRecorder
 
 	leaving atomic.Bool
-	// ordering bounds this box's part in the contest for the order lease, and its orders.
-	ordering     context.Context
+	// orderCtx ends when this box stops competing for the order lease and giving orders.
+	orderCtx     context.Context
 	stopOrdering context.CancelFunc
 	background   sync.WaitGroup
 }
 
-// Run takes part in the fleet until ctx ends; other boxes call the listener.
+// Run takes part in the fleet until ctx ends. Other boxes connect to the listener.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	context.AfterFunc(ctx, n.stopOrdering)
 	go n.server.Serve(listener)
 	n.background.Go(func() { n.view.Run(ctx) })
 	n.background.Go(func() { n.orderLease.ResignWhenCutOff(ctx) })
-	n.background.Go(func() { n.orderLease.Run(n.ordering) })
-	n.background.Go(func() { n.controller.Run(n.ordering) })
+	n.background.Go(func() { n.orderLease.Run(n.orderCtx) })
+	n.background.Go(func() { n.controller.Run(n.orderCtx) })
 	n.background.Go(func() { n.exchange.Run(ctx) })
 	n.background.Go(func() { n.registration.Run(ctx) })
 	n.background.Go(func() { n.spender.Run(ctx) })
-	n.background.Go(func() { n.holds.Run(ctx) })
+	n.background.Go(func() { n.holdRecorder.Run(ctx) })
 	<-ctx.Done()
 	n.background.Wait()
 	n.server.Close()
 	n.client.Close()
 }
 
-// Leave hands the order lease over, ahead of a planned stop.
+// Leave gives up the order lease, ahead of a planned stop. From then on the box is not ready.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.stopOrdering()
 }
 
 // Ready reports whether this box can serve: it has a configuration, knows upstreams and is not about
-// to stop. Where customers have limits, it is listed by the store too, or was not in time: until then it
-// does not know its part of a limit, and refuses customers within theirs.
+// to stop. If customers have limits, it also waits for a bounded time until the store lists this box: before that
+// it does not know its share of a limit, and would refuse customers that are within their limits.
 func (n *Node) Ready() bool {
 	table := n.Gateway.Table()
 	if n.leaving.Load() || table == nil || n.Gateway.Directory.Revision() == 0 {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,8 +17,8 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// withBox runs f on a box on a store in memory with a configuration and an upstream, in a bubble.
-// before is called on the box before it runs.
+// withBox runs f in a bubble, on a box with an in-memory store that has a configuration and an upstream.
+// It calls before on the box before the box runs.
 func withBox(before func(*Node), f func(box *Node, store kv.Store)) {
 	spectest.Bubble(func() {
 		store := kv.NewMemory().Store()
@@ -41,12 +41,13 @@
 			stop()
 			Eventually(stopped).WithTimeout(3 * time.Second).Should(BeClosed())
 			_ = listener.Close()
-			time.Sleep(time.Minute) // What was begun for a term ends with it.
+			time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 		}()
 		f(box, store)
 	})
 }
 
+// mayOrder returns a function that reports whether a box may give orders now.
 func mayOrder(box *Node) func() bool {
 	return func() bool {
 		_, err := box.orderLease.Term()
@@ -63,7 +64,7 @@
 		})
 	})
 
-	DescribeTable("waits until the store lists it where customers have limits, for two seconds at most",
+	DescribeTable("waits until the store lists it if customers have limits, for two seconds at most",
 		func(limit float64, listedAfter, readyAfter time.Duration) {
 			spectest.Bubble(func() {
 				store := kv.NewMemory().Store()
@@ -102,7 +103,7 @@
 				stop()
 				<-stopped
 				_ = listener.Close()
-				time.Sleep(time.Minute) // What was begun for a term ends with it.
+				time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 			})
 		},
 		Entry("no limits", 0.0, time.Second, time.Duration(0)),
@@ -110,7 +111,7 @@
 		Entry("not listed", 10.0, 10*time.Second, 2*time.Second),
 	)
 
-	It("hands the order lease back when it leaves", func() {
+	It("gives up the order lease when it leaves", func() {
 		withBox(func(*Node) {}, func(box *Node, store kv.Store) {
 			Eventually(mayOrder(box)).WithTimeout(5 * time.Second).Should(BeTrue())
 			box.Leave()
@@ -128,7 +129,7 @@
 		})
 	})
 
-	It("exchanges what it has under way with another box over TCP", func() {
+	It("tells another box over TCP which requests it is running", func() {
 		store := kv.NewMemory().Store()
 		var boxes []*Node
 		for _, name := range []string{"a", "b"} {
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -22,88 +22,93 @@
 	"ospreymoor.example/ospreymoor/pkg/routes"
 )
 
-// noticeWay is one way to heed what upstreams tell.
-type noticeWay struct {
+// noticeVariant is one way to follow the notices of upstreams.
+type noticeVariant struct {
 	name string
-	// unread drops all that they tell.
-	unread bool
-	rests  fleet.Rests
-	// restsForAll has a rest that one box is asked for kept by all boxes.
-	restsForAll bool
-	// coldPerSecond is how many requests a second cold engines bear; 0 sets no bound.
+	// ignoreNotices makes boxes ignore all notices.
+	ignoreNotices bool
+	backoffRules  fleet.Rests
+	// backoffForAll makes all boxes keep a backoff that an engine asked of one box.
+	backoffForAll bool
+	// coldPerSecond is how many requests per second a cold engine can take; 0 means no bound.
 	coldPerSecond float64
 	// tune changes a box before it runs; nil changes nothing.
 	tune func(n *noticeFleet, box *Node)
 }
 
-// noticeFleet is boxes before engines that tell in their answers that they leave, or want rest.
+// noticeFleet is a fleet of boxes with engines whose answers state that they leave, that they need a backoff, or a
+// limit.
 type noticeFleet struct {
 	*crashFleet
-	way noticeWay
-	// logTo, if set, gets the lines of all boxes.
+	variant noticeVariant
+	// logTo gets the log lines of all boxes; nil drops them.
 	logTo zapcore.Core
-	// engineSlots is how many requests an engine runs at once; it turns others away and asks for rest. 0 is any number.
+	// engineSlots is how many requests an engine runs at once; it rejects further ones and asks for a backoff. 0 means
+	// any number.
 	engineSlots int
-	rest        time.Duration
+	// backoff is the duration that engines ask for.
+	backoff time.Duration
 
 	noticeMu sync.Mutex
 	engines  map[string]*noticeEngine
-	// late counts the requests that reached an engine in a rest that it had asked the same box for, and turnedAway all that it did not
-	// run; longest is the most requests that one got within herdSpan.
-	late, turnedAway, longest int
-	// afterLeaving counts the requests that reached an engine later than leaveTime after it had told the same box that it leaves.
-	afterLeaving int
-	// knew is when boxes came to know that each engine leaves, the latest of them.
-	knew time.Time
-	// lost counts the runs that ended with their engine.
-	lost int
+	// sentInBackoff counts the requests from boxes that the engine had asked for a backoff that was not over. rejected
+	// counts all requests that an engine did not run. largestBurst is the most requests that one got within burstSpan.
+	sentInBackoff, rejected, largestBurst int
+	// sentAfterLeaving counts the requests that a box sent to an engine later than leavingGrace after that engine had
+	// told it that it leaves.
+	sentAfterLeaving int
+	// lastLearned is when a box last learned of an engine that it leaves.
+	lastLearned time.Time
+	// lostRuns counts the requests that ended because their engine was gone.
+	lostRuns int
 }
 
 // noticeEngine is one engine.
 type noticeEngine struct {
 	running int
-	// share of requests is turned away until turningUntil.
-	share        float64
-	turningUntil time.Time
-	// leaving has its answers tell that it leaves; life ends when it is gone.
+	// rejectShare is the share of requests that the engine rejects until rejectUntil.
+	rejectShare float64
+	rejectUntil time.Time
+	// leaving makes its answers state that it leaves. The context alive ends when it is gone.
 	leaving bool
-	life    context.Context
-	end     context.CancelFunc
+	alive   context.Context
+	kill    context.CancelFunc
 	gone    bool
-	// asked is when each box was last asked for rest, and told when each was first told that it leaves.
-	asked, told map[int]time.Time
-	// arrivals are the latest ones.
-	arrivals []time.Time
-	// all are all arrivals, and sentBy has the box of each.
-	all    []time.Time
-	sentBy []int
-	// limits are those that its answers named one after the other, and limitTold is when each box was first told of one.
-	limits    []namedLimit
-	limitTold map[int]time.Time
+	// backoffAskedAt is when each box was last asked for a backoff, and leavingToldAt when each was first told that
+	// the engine leaves.
+	backoffAskedAt, leavingToldAt map[int]time.Time
+	// recentArrivals are the arrivals within the latest burstSpan.
+	recentArrivals []time.Time
+	// allArrivals are the arrivals since the start, and sentBy has the box of each.
+	allArrivals []time.Time
+	sentBy      []int
+	// limits are the limits that its answers stated, in order, and limitToldAt is when each box was first told of one.
+	limits      []statedLimit
+	limitToldAt map[int]time.Time
 }
 
 const (
-	// restGrace is how long after it was asked for rest a box may still send, and leaveTime how long after it was told that an engine
-	// leaves. Bounds of the platform.
-	restGrace = 500 * time.Millisecond
-	leaveTime = 2 * time.Second
-	// herdSpan is the time in which requests count as one herd.
-	herdSpan = 100 * time.Millisecond
+	// backoffGrace is how long after it was asked for a backoff a box may still send, and leavingGrace how long after
+	// it was told that an engine leaves. Both are bounds of the platform.
+	backoffGrace = 500 * time.Millisecond
+	leavingGrace = 2 * time.Second
+	// burstSpan is the time in which requests count as one burst.
+	burstSpan = 100 * time.Millisecond
 )
 
 // withNoticeFleet runs f on a fleet in a bubble.
-func withNoticeFleet(size smallFleetSize, way noticeWay, f func(*noticeFleet)) {
-	withLoggedNoticeFleet(size, way, nil, f)
+func withNoticeFleet(size smallFleetSize, variant noticeVariant, f func(*noticeFleet)) {
+	withLoggedNoticeFleet(size, variant, nil, f)
 }
 
-// withLoggedNoticeFleet runs f on a fleet whose boxes' lines go to a core; nil drops them.
-func withLoggedNoticeFleet(size smallFleetSize, way noticeWay, logTo zapcore.Core, f func(*noticeFleet)) {
-	n := &noticeFleet{logTo: logTo, way: way, rest: 3 * time.Second, engines: map[string]*noticeEngine{}}
+// withLoggedNoticeFleet runs f on a fleet whose boxes log to a core; nil drops the lines.
+func withLoggedNoticeFleet(size smallFleetSize, variant noticeVariant, logTo zapcore.Core, f func(*noticeFleet)) {
+	n := &noticeFleet{logTo: logTo, variant: variant, backoff: 3 * time.Second, engines: map[string]*noticeEngine{}}
 	before := func(c *crashFleet) {
 		n.crashFleet = c
 		for k := range size.upstreams {
-			life, end := context.WithCancel(context.Background())
-			n.engines[upstreamName(k)] = &noticeEngine{life: life, end: end, asked: map[int]time.Time{}, told: map[int]time.Time{}, limitTold: map[int]time.Time{}}
+			alive, kill := context.WithCancel(context.Background())
+			n.engines[upstreamName(k)] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingToldAt: map[int]time.Time{}, limitToldAt: map[int]time.Time{}}
 		}
 		c.tune, c.tuneNode = n.tuneConfig, n.tuneBox
 	}
@@ -111,12 +116,12 @@
 		f(n)
 		n.callers.Wait()
 		for _, engine := range n.engines {
-			engine.end()
+			engine.kill()
 		}
 	})
 }
 
-// tuneConfig has a box serve engines that all hold one model.
+// tuneConfig configures a box for engines that all hold one model.
 func (n *noticeFleet) tuneConfig(config *Config) {
 	box := 0
 	_, _ = fmt.Sscanf(config.Name, "n%d", &box)
@@ -126,7 +131,7 @@
 			Target: time.Second, MaxAttempts: 2, Shares: []routes.Share{{Service: "s", Weight: 1}},
 		}
 		engines := &routes.Engines{Slots: 64, CacheTokens: 200_000, AdapterSlots: 8, Models: []routes.Model{{Name: "m"}}}
-		service := routes.Service{Name: "s", Engines: engines, ColdStart: coldTime, ColdPerSecond: n.way.coldPerSecond}
+		service := routes.Service{Name: "s", Engines: engines, ColdStart: coldTime, ColdPerSecond: n.variant.coldPerSecond}
 		return routes.New(1, []routes.Route{route}, []routes.Service{service}, routes.Limits{}), nil
 	}
 	config.Platform.DecodeUpstream = func(record kv.Record) (fleet.Upstream, error) {
@@ -141,10 +146,10 @@
 	if n.logTo != nil {
 		config.Log = zap.New(n.logTo).With(zap.Int("box", box))
 	}
-	// As many retries a box as the platform allows fleets of 7 to 60 boxes.
+	// As many retries per box as the platform allows in fleets of 7 to 60 boxes.
 	config.Retries = gateway.RetryLimits{Ratio: 0.2, Slack: 4 * float64(n.boxes)}
 	config.Upstreams.Send = func(ctx context.Context, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
-		return n.send(ctx, box, to, attempt)
+		return n.sendToEngine(ctx, box, to, attempt)
 	}
 	config.Upstreams.Refuses = func(_ context.Context, of fleet.Upstream) bool { return false }
 	config.Upstreams.Engines = residency.Engines{
@@ -154,22 +159,23 @@
 	}
 }
 
+// tuneBox applies the variant to a box and records when the box learns of an engine that it leaves.
 func (n *noticeFleet) tuneBox(box *Node) {
 	directory := box.Gateway.Directory
-	directory.Rests = n.way.rests
-	if n.way.tune != nil {
-		n.way.tune(n, box)
+	directory.Rests = n.variant.backoffRules
+	if n.variant.tune != nil {
+		n.variant.tune(n, box)
 	}
 	logged := directory.OnNotice
 	directory.OnNotice = func(noted fleet.Noted) {
 		logged(noted)
 		if noted.Leaving {
 			n.noticeMu.Lock()
-			n.knew = time.Now()
+			n.lastLearned = time.Now()
 			n.noticeMu.Unlock()
 		}
 	}
-	if n.way.restsForAll {
+	if n.variant.backoffForAll {
 		directory.OnNotice = func(noted fleet.Noted) {
 			for _, other := range n.nodes {
 				if noted.Source != fleet.SourceBox && other != nil && other != box {
@@ -180,15 +186,15 @@
 	}
 }
 
-// lastKnew is when the last box came to know of an engine that it leaves.
-func (n *noticeFleet) lastKnew() time.Time {
+// lastLearnedAt returns when a box last learned of an engine that it leaves.
+func (n *noticeFleet) lastLearnedAt() time.Time {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
-	return n.knew
+	return n.lastLearned
 }
 
-// send is one request of a box at an engine.
-func (n *noticeFleet) send(ctx context.Context, box int, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
+// sendToEngine sends one request of a box to an engine.
+func (n *noticeFleet) sendToEngine(ctx context.Context, box int, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
 	if err := pause.For(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
@@ -197,10 +203,10 @@
 		return nil, gateway.ErrNotSent
 	}
 	if err := pause.For(ctx, time.Millisecond); err != nil {
-		n.leave(engine)
+		n.finish(engine)
 		return nil, err
 	}
-	if n.way.unread {
+	if n.variant.ignoreNotices {
 		notice = fleet.Notice{}
 	}
 	notice.Source = fleet.SourceRequest
@@ -214,19 +220,20 @@
 	n.callers.Go(func() {
 		stop := context.AfterFunc(ctx, func() { _ = writer.CloseWithError(io.ErrUnexpectedEOF) })
 		defer stop()
-		err := writeEvents(engine.life, writer, attempt.LastEventID)
+		err := writeEvents(engine.alive, writer, attempt.LastEventID)
 		_ = writer.CloseWithError(err)
-		n.leave(engine)
-		if engine.life.Err() != nil {
+		n.finish(engine)
+		if engine.alive.Err() != nil {
 			n.noticeMu.Lock()
-			n.lost++
+			n.lostRuns++
 			n.noticeMu.Unlock()
 		}
 	})
 	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Body: reader}, nil
 }
 
-// arrive counts a request that reaches an engine, and returns what it answers.
+// arrive counts a request that reaches an engine. It returns the engine, whether it rejects the request, and the
+// notice in its answer.
 func (n *noticeFleet) arrive(box int, id string) (engine *noticeEngine, turnedAway bool, notice fleet.Notice) {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
@@ -235,50 +242,50 @@
 	if engine.gone {
 		return engine, false, notice
 	}
-	if at, ok := engine.asked[box]; ok && now.Sub(at) > restGrace && now.Sub(at) < n.rest {
-		n.late++
+	if at, ok := engine.backoffAskedAt[box]; ok && now.Sub(at) > backoffGrace && now.Sub(at) < n.backoff {
+		n.sentInBackoff++
 	}
-	if at, ok := engine.told[box]; ok && now.Sub(at) > leaveTime {
-		n.afterLeaving++
+	if at, ok := engine.leavingToldAt[box]; ok && now.Sub(at) > leavingGrace {
+		n.sentAfterLeaving++
 	}
-	engine.countHerd(now, &n.longest)
+	engine.countArrival(now, &n.largestBurst)
 	engine.sentBy = append(engine.sentBy, box)
-	engine.tellLimit(box, now, &notice)
+	engine.addLimit(box, now, &notice)
 	if engine.leaving {
 		notice.Leaving = true
-		if _, ok := engine.told[box]; !ok {
-			engine.told[box] = now
+		if _, ok := engine.leavingToldAt[box]; !ok {
+			engine.leavingToldAt[box] = now
 		}
 	}
 	full := n.engineSlots > 0 && engine.running >= n.engineSlots
-	if full || now.Before(engine.turningUntil) && rand.Float64() < engine.share {
-		n.turnedAway++
-		engine.asked[box] = now
-		notice.Rest = n.rest
+	if full || now.Before(engine.rejectUntil) && rand.Float64() < engine.rejectShare {
+		n.rejected++
+		engine.backoffAskedAt[box] = now
+		notice.Rest = n.backoff
 		return engine, true, notice
 	}
 	engine.running++
 	return engine, false, notice
 }
 
-// countHerd counts the requests of the latest herdSpan.
-func (e *noticeEngine) countHerd(now time.Time, longest *int) {
-	for len(e.arrivals) > 0 && now.Sub(e.arrivals[0]) > herdSpan {
-		e.arrivals = e.arrivals[1:]
+// countArrival records an arrival, and raises longest to the number of arrivals in the latest burstSpan.
+func (e *noticeEngine) countArrival(now time.Time, longest *int) {
+	for len(e.recentArrivals) > 0 && now.Sub(e.recentArrivals[0]) > burstSpan {
+		e.recentArrivals = e.recentArrivals[1:]
 	}
-	e.arrivals = append(e.arrivals, now)
-	e.all = append(e.all, now)
-	*longest = max(*longest, len(e.arrivals))
+	e.recentArrivals = append(e.recentArrivals, now)
+	e.allArrivals = append(e.allArrivals, now)
+	*longest = max(*longest, len(e.recentArrivals))
 }
 
-func (n *noticeFleet) leave(engine *noticeEngine) {
+func (n *noticeFleet) finish(engine *noticeEngine) {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
 	engine.running--
 }
 
-// some calls f with every so manieth engine, locked.
-func (n *noticeFleet) some(every int, f func(*noticeEngine)) {
+// eachNth calls f with every n-th engine, where n is every, and holds noticeMu meanwhile.
+func (n *noticeFleet) eachNth(every int, f func(*noticeEngine)) {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
 	for k := 0; k < len(n.engines); k += every {
@@ -286,25 +293,27 @@
 	}
 }
 
-// askForModel has callers ask at any box for a time, that many a second. Each comes again once, when it is told to.
-func (n *noticeFleet) askForModel(perSecond float64, span time.Duration) {
+// sendModelRequests has callers send requests for a model to random boxes, for a time and at a rate. A caller that is
+// refused tries once more after the Retry-After, or after 4 s if that is earlier.
+func (n *noticeFleet) sendModelRequests(perSecond float64, span time.Duration) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for k := range int(span.Seconds() * perSecond) {
-		first, second := n.anyBox(random), n.anyBox(random)
+		first, second := n.randomBox(random), n.randomBox(random)
 		n.callers.Go(func() {
-			outcome, wait := n.askOnce(first, fmt.Sprint(k, " first"))
+			outcome, wait := n.sendModelRequest(first, fmt.Sprint(k, " first"))
 			if outcome == refused {
 				time.Sleep(min(wait, 4*time.Second))
-				outcome, _ = n.askOnce(second, fmt.Sprint(k, " second"))
+				outcome, _ = n.sendModelRequest(second, fmt.Sprint(k, " second"))
 				outcome += " at its return"
 			}
-			n.outcome(outcome)
+			n.countOutcome(outcome)
 		})
 		time.Sleep(time.Duration(float64(time.Second) / perSecond))
 	}
 }
 
-func (n *noticeFleet) askOnce(box int, id string) (outcome string, retryAfter time.Duration) {
+// sendModelRequest sends one request for a model to a box. It returns its outcome, and the Retry-After of a refusal.
+func (n *noticeFleet) sendModelRequest(box int, id string) (outcome string, retryAfter time.Duration) {
 	answer := httptest.NewRecorder()
 	now := time.Now()
 	request := &gateway.Request{
--- a/internal/node/notice_test.go
+++ b/internal/node/notice_test.go
@@ -12,8 +12,8 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-var _ = Describe("engines that tell in their answers that they leave, or want rest", func() {
-	kept := noticeWay{rests: fleet.DefaultRests}
+var _ = Describe("engines that state in their answers that they leave, or ask for a backoff", func() {
+	variant := noticeVariant{backoffRules: fleet.DefaultRests}
 	sizes := func(size smallFleetSize, f func(*noticeFleet, float64)) {
 		if size.boxes > *crashBoxes {
 			Skip("more boxes than -crash-boxes")
@@ -21,19 +21,19 @@
 		if raceDetector && size.boxes > raceSize.boxes {
 			size = raceSize
 		}
-		withNoticeFleet(size, kept, func(n *noticeFleet) { f(n, 12*float64(size.upstreams)) })
+		withNoticeFleet(size, variant, func(n *noticeFleet) { f(n, 12*float64(size.upstreams)) })
 	}
 	const span = 8 * time.Second
 
-	DescribeTable("are left alone by each box that was told, and others serve", func(size smallFleetSize) {
+	DescribeTable("get no requests in a backoff from a box that they asked for it, and others serve", func(size smallFleetSize) {
 		sizes(size, func(n *noticeFleet, perSecond float64) {
 			until := time.Now().Add(6 * time.Second)
-			n.some(4, func(e *noticeEngine) { e.share, e.turningUntil = 1, until })
-			n.askForModel(perSecond, span)
+			n.eachNth(4, func(e *noticeEngine) { e.rejectShare, e.rejectUntil = 1, until })
+			n.sendModelRequests(perSecond, span)
 			n.callers.Wait()
-			GinkgoWriter.Printf("%d turned away, at most %d in 0.1 s at one engine, requests ended: %v\n", n.turnedAway, n.longest, n.outcomes)
-			Expect(n.turnedAway).To(BeNumerically(">", 0))
-			Expect(n.late).To(BeZero(), "requests in a rest")
+			GinkgoWriter.Printf("%d rejected, at most %d in 0.1 s at one engine, requests ended: %v\n", n.rejected, n.largestBurst, n.outcomes)
+			Expect(n.rejected).To(BeNumerically(">", 0))
+			Expect(n.sentInBackoff).To(BeZero(), "requests in a backoff")
 			Expect(n.outcomes[refused+" at its return"]+n.outcomes[broken]).To(BeNumerically("<=", n.outcomes[served]/200), "not served")
 		})
 	},
@@ -42,22 +42,22 @@
 		Entry("at 515 boxes", smallFleetSize{boxes: 515, halls: 7, upstreams: 600}),
 	)
 
-	DescribeTable("get nothing more when they leave, from boxes that were not told themselves either", func(size smallFleetSize) {
+	DescribeTable("get no more requests when they leave, also from boxes that they did not tell", func(size smallFleetSize) {
 		sizes(size, func(n *noticeFleet, perSecond float64) {
-			n.some(3, func(e *noticeEngine) { e.leaving = true })
+			n.eachNth(3, func(e *noticeEngine) { e.leaving = true })
 			left := time.Now()
 			time.AfterFunc(4*time.Second, func() {
-				n.some(3, func(e *noticeEngine) {
+				n.eachNth(3, func(e *noticeEngine) {
 					e.gone = true
-					e.end()
+					e.kill()
 				})
 			})
-			n.askForModel(perSecond, span)
+			n.sendModelRequests(perSecond, span)
 			n.callers.Wait()
-			GinkgoWriter.Printf("%d lost, the last box knew after %v, requests ended: %v\n", n.lost, n.lastKnew().Sub(left), n.outcomes)
-			Expect(n.afterLeaving).To(BeZero())
-			Expect(n.lastKnew().Sub(left)).To(BeNumerically("<", leaveTime))
-			Expect(n.lost).To(BeZero(), "runs that ended with their engine")
+			GinkgoWriter.Printf("%d lost, the last box learned of it after %v, requests ended: %v\n", n.lostRuns, n.lastLearnedAt().Sub(left), n.outcomes)
+			Expect(n.sentAfterLeaving).To(BeZero())
+			Expect(n.lastLearnedAt().Sub(left)).To(BeNumerically("<", leavingGrace))
+			Expect(n.lostRuns).To(BeZero(), "requests that ended because their engine was gone")
 			Expect(n.outcomes[served]).To(BeNumerically(">", 0))
 		})
 	},
@@ -66,16 +66,16 @@
 		Entry("at 515 boxes", smallFleetSize{boxes: 515, halls: 7, upstreams: 600}),
 	)
 
-	It("show in lines alone what each told, to which box, by which way and when, and that nothing was sent against it", func() {
+	It("can be followed by log lines alone: what each stated, to which box, by which source and when, and that nothing was sent against it", func() {
 		core, lines := observer.New(zap.InfoLevel)
-		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, kept, core, func(n *noticeFleet) {
+		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, variant, core, func(n *noticeFleet) {
 			const leaving = "e000"
-			n.some(18, func(e *noticeEngine) { e.leaving = true })
+			n.eachNth(18, func(e *noticeEngine) { e.leaving = true })
 			until := time.Now().Add(time.Second)
-			n.some(7, func(e *noticeEngine) { e.share, e.turningUntil = 1, until })
-			// Callers ask at one box alone: the others can only know from boxes.
+			n.eachNth(7, func(e *noticeEngine) { e.rejectShare, e.rejectUntil = 1, until })
+			// Callers send to one box only, so that the others can learn of it only from other boxes.
 			for k := range 800 {
-				n.callers.Go(func() { n.askOnce(0, fmt.Sprint(k)) })
+				n.callers.Go(func() { n.sendModelRequest(0, fmt.Sprint(k)) })
 				time.Sleep(5 * time.Millisecond)
 			}
 			n.callers.Wait()
@@ -84,15 +84,15 @@
 			for _, line := range lines.FilterMessage("upstream notice").All() {
 				fields := line.ContextMap()
 				if fields["backend"] == leaving && fields["kinds"].([]any)[0] == "leaving" {
-					Expect(boxes).NotTo(HaveKey(fields["box"]), "told twice")
+					Expect(boxes).NotTo(HaveKey(fields["box"]), "more than one notice at a box")
 					boxes[fields["box"]] = true
 					sources[fields["source"]]++
 				}
 			}
 			Expect(boxes).To(HaveLen(7))
 			Expect(sources).To(Equal(map[any]int{"request": 1, "box": 6}))
-			rests := lines.FilterMessage("upstream notice").FilterField(zap.Duration("rest", n.rest)).All()
-			Expect(rests).To(HaveLen(n.turnedAway))
+			backoffs := lines.FilterMessage("upstream notice").FilterField(zap.Duration("rest", n.backoff)).All()
+			Expect(backoffs).To(HaveLen(n.rejected))
 			Expect(lines.FilterMessage("sent against notice").All()).To(BeEmpty())
 		})
 	})
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -6,5 +6,5 @@
 
 func init() {
 	raceDetector = true
-	storeCallsSize, changingFor = smallFleetSize{boxes: 18, halls: 2, upstreams: 32}, 2*time.Second
+	storeCallsSize, changeTime = smallFleetSize{boxes: 18, halls: 2, upstreams: 32}, 2*time.Second
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -16,7 +16,7 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// largeFleet is more boxes than exchange in a full mesh, in halls of ten.
+// largeFleet is a fleet of more boxes than exchange in a full mesh, in halls of ten.
 type largeFleet struct {
 	nodes    []*Node
 	stops    []context.CancelFunc
@@ -24,11 +24,11 @@
 	watching atomic.Int64
 }
 
-const hallBoxes = 10
+const boxesPerHall = 10
 
 func nodeName(n int) string { return fmt.Sprintf("n%02d", n) }
 
-// withLargeFleet runs f on a large fleet in a bubble.
+// withLargeFleet runs f in a bubble, on a large fleet with a number of halls.
 func withLargeFleet(halls int, f func(*largeFleet)) {
 	spectest.Bubble(func() {
 		fleet := startLargeFleet(halls)
@@ -37,7 +37,7 @@
 				stop()
 			}
 			fleet.stopped.Wait()
-			time.Sleep(time.Minute) // What was begun for a term ends with it.
+			time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 		}()
 		f(fleet)
 	})
@@ -50,7 +50,7 @@
 	store := memory
 	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
 		f.watching.Add(1)
-		return answering(ctx, memory, watching)
+		return pollingWatch(ctx, memory, watching)
 	}
 	put := func(key, value string) {
 		_, err := memory.Swap(context.Background(), kv.Swap{Key: key, Value: []byte(value)})
@@ -58,10 +58,10 @@
 	}
 	put("config", "1")
 	put("servers/e1", "e1")
-	for n := range halls * hallBoxes {
+	for n := range halls * boxesPerHall {
 		address := nodeName(n) + ":1"
 		listener := network.Listen(address)
-		node := New(testConfig(nodeName(n), fmt.Sprint("z", n/hallBoxes), address, store, network.Dial))
+		node := New(testConfig(nodeName(n), fmt.Sprint("z", n/boxesPerHall), address, store, network.Dial))
 		ctx, stop := context.WithCancel(context.Background())
 		f.nodes = append(f.nodes, node)
 		f.stops = append(f.stops, stop)
@@ -73,8 +73,8 @@
 	return f
 }
 
-// answering is a watch that answers also when nothing has changed, as the platform's does.
-func answering(ctx context.Context, store kv.Store, watching kv.Watching) (<-chan []kv.Event, error) {
+// pollingWatch returns a watch that, like the platform's, also answers a poll without changes, with an empty batch.
+func pollingWatch(ctx context.Context, store kv.Store, watching kv.Watching) (<-chan []kv.Event, error) {
 	changes, err := store.Watch(ctx, watching)
 	if err != nil {
 		return nil, err
@@ -104,9 +104,10 @@
 	return answers, nil
 }
 
-// delivering is answering over a link: each batch arrives once take has returned, and the watch ends if that fails.
-func delivering(ctx context.Context, store kv.Store, watching kv.Watching, take func([]kv.Event) error) (<-chan []kv.Event, error) {
-	batches, err := answering(ctx, store, watching)
+// linkedWatch returns a pollingWatch over a link: each batch arrives once deliver has returned, and the watch ends if
+// that fails.
+func linkedWatch(ctx context.Context, store kv.Store, watching kv.Watching, deliver func([]kv.Event) error) (<-chan []kv.Event, error) {
+	batches, err := pollingWatch(ctx, store, watching)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +115,7 @@
 	go func() {
 		defer close(received)
 		for batch := range batches {
-			if take(batch) != nil {
+			if deliver(batch) != nil {
 				return
 			}
 			select {
@@ -127,7 +128,7 @@
 	return received, nil
 }
 
-// relays names the boxes that act as relays.
+// relays returns the names of the boxes that act as relays.
 func (f *largeFleet) relays() []string {
 	var names []string
 	for n, node := range f.nodes {
@@ -138,8 +139,8 @@
 	return names
 }
 
-// running is what each box takes an engine to have under way.
-func (f *largeFleet) running(engine string) []int {
+// runningAt returns how many requests each box believes an engine to be running.
+func (f *largeFleet) runningAt(engine string) []int {
 	counts := make([]int, len(f.nodes))
 	for i, node := range f.nodes {
 		counts[i] = node.Gateway.Loads.Total(engine).Running
@@ -147,13 +148,14 @@
 	return counts
 }
 
+// begin records on a node that a request runs at an engine, until the ticket ends.
 func (f *largeFleet) begin(node int, engine string) *dispatch.Ticket {
 	choice := dispatch.Choice{Upstream: &fleet.State{Upstream: &fleet.Upstream{ID: engine}}}
 	return f.nodes[node].Gateway.Loads.Begin(choice, dispatch.Requirements{Service: "s"})
 }
 
 var _ = Describe("a large fleet", func() {
-	It("has one relay a hall, and every box knows what all have under way", func() {
+	It("has one relay per hall, and every box knows how many requests all boxes are running", func() {
 		withLargeFleet(2, func(f *largeFleet) {
 			Eventually(f.relays).WithTimeout(8 * time.Second).Should(Equal([]string{"n00", "n10"}))
 			everywhere := func(count int) []int {
@@ -167,13 +169,13 @@
 			for _, node := range []int{0, 3, 3, 10, 17} {
 				tickets = append(tickets, f.begin(node, "e1"))
 			}
-			Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(5)))
-			Consistently(func() []int { return f.running("e1") }).WithTimeout(time.Second).Should(Equal(everywhere(5)))
+			Eventually(func() []int { return f.runningAt("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(5)))
+			Consistently(func() []int { return f.runningAt("e1") }).WithTimeout(time.Second).Should(Equal(everywhere(5)))
 			for _, ticket := range tickets[1:] {
 				ticket.End()
 			}
-			Eventually(func() []int { return f.running("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(1)))
-			By("asking the store from a few boxes only")
+			Eventually(func() []int { return f.runningAt("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(1)))
+			By("polling the store from a few boxes only")
 			before := f.watching.Load()
 			time.Sleep(time.Second)
 			Expect(f.watching.Load() - before).To(BeNumerically("<", 3))
--- a/internal/node/small_boxes_test.go
+++ b/internal/node/small_boxes_test.go
@@ -21,45 +21,46 @@
 )
 
 const (
-	// smallLink is the rate of a small box, in bytes a second: a link of 10 Mbit/s, and a fifth of a core that reads
-	// JSON at 7 MB/s (measured: 416 KB in 12 ms of a whole core).
+	// smallLink is the rate of a small box, in bytes per second: a link of 10 Mbit/s, combined with a fifth of a core
+	// that decodes JSON at 7 MB/s (416 KB take 12 ms of a whole core).
 	smallLink = 1e6
-	// storeTimeout and storeTransfer bound a call of the store as platform/store.go does: until an answer begins, and
-	// until it ends.
-	storeTimeout  = 1500 * time.Millisecond
-	storeTransfer = 15 * time.Second
+	// storeTimeout is the longest time until an answer of the store begins, and storeTransferTimeout until it ends, as
+	// in platform/store.go.
+	storeTimeout         = 1500 * time.Millisecond
+	storeTransferTimeout = 15 * time.Second
 )
 
-// entryPadding begins what makes an upstream's entry as long as the platform's are.
+// entryPadding begins the padding that makes an upstream's entry as long as the platform's entries.
 const entryPadding = "|"
 
-// smallFleetSize is a fleet of small boxes only.
+// smallFleetSize is the size of a fleet that has small boxes only.
 type smallFleetSize struct {
 	boxes, halls, upstreams int
 }
 
-// raceDetector is set where the specs run with the race detector. Its runtime failed once in itself on these specs at their
-// full size (docs/FINDINGS.md, open 13), so that there they run with raceSize; CI runs them at full size without it.
+// raceDetector is set if the specs run with the race detector. They run with raceSize then, since the race detector's
+// runtime itself failed once at their full size (docs/FINDINGS.md, open 13). CI runs them at full size without it.
 var raceDetector bool
 
-// raceSize is a fleet that still has relays.
+// raceSize is the size of a small fleet that still has relays.
 var raceSize = smallFleetSize{boxes: 18, halls: 2, upstreams: 64}
 
-// smallBoxes is a fleet whose boxes all have a small link, and what each knows when.
+// smallBoxes is a fleet whose boxes all have a slow link. It records when each box learns of a change.
 type smallBoxes struct {
 	size    smallFleetSize
 	memory  kv.Store
 	nodes   []*Node
 	running sync.WaitGroup
 	network spectest.Network
-	// links by address.
+	// links holds the boxes' links by address.
 	links map[string]*spectest.Link
-	// storeAway means that the store answers nobody.
-	storeAway atomic.Bool
+	// storeDown means that the store answers no box.
+	storeDown atomic.Bool
 	calls     storeCalls
 
 	mu sync.Mutex
-	// written is when the store took a change, and known when each box had it, by name of the change.
+	// written is when the store took a change, by the change's name. known is when a box learned of it, by the
+	// change's name and the box's.
 	written map[string]time.Time
 	known   map[string]map[string]time.Time
 }
@@ -68,7 +69,7 @@
 func smallBoxAddress(n int) string { return smallBoxName(n) + ":1" }
 func upstreamName(n int) string    { return fmt.Sprintf("e%03d", n) }
 
-// withSmallBoxes runs f on a fleet of small boxes in a bubble, each upstream with a load that its boxes report.
+// withSmallBoxes runs f in a bubble, on a fleet of small boxes that report a running request for each upstream.
 func withSmallBoxes(size smallFleetSize, f func(*smallBoxes)) {
 	if raceDetector && size.boxes > raceSize.boxes {
 		size = raceSize
@@ -83,14 +84,14 @@
 		defer func() {
 			stop()
 			s.running.Wait()
-			time.Sleep(time.Minute) // What was begun for a term ends with it.
+			time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 		}()
-		time.Sleep(8 * time.Second) // Until relays are found.
+		time.Sleep(8 * time.Second) // Until each hall's relay is known.
 		f(s)
 	})
 }
 
-// newSmallBoxes returns a fleet whose store has a configuration and all upstreams.
+// newSmallBoxes returns a fleet without boxes yet, whose store has a configuration and all upstreams.
 func newSmallBoxes(size smallFleetSize) *smallBoxes {
 	s := &smallBoxes{
 		size: size, memory: kv.NewMemory().Store(), links: map[string]*spectest.Link{},
@@ -99,30 +100,30 @@
 	for n := range size.boxes {
 		s.links[smallBoxAddress(n)] = spectest.NewLink(smallLink)
 	}
-	s.put("config", configOf(1, 50))
+	s.put("config", configText(1, 50))
 	for n := range size.upstreams {
 		s.put("servers/"+upstreamName(n), upstreamName(n))
 	}
 	return s
 }
 
-// start runs a box until ctx ends. Its decoders note what it knows.
+// start runs a box until ctx ends. Its decoders record which changes it learned of.
 func (s *smallBoxes) start(ctx context.Context, n int) {
 	name, address := smallBoxName(n), smallBoxAddress(n)
 	link := s.links[address]
 	dial := link.Dial(&s.network, func(to string) *spectest.Link { return s.links[to] })
-	config := testConfig(name, fmt.Sprint("z", n%s.size.halls), address, s.calls.counting(s.overLink(link)), dial)
+	config := testConfig(name, fmt.Sprint("z", n%s.size.halls), address, s.calls.countingStore(s.storeOverLink(link)), dial)
 	config.LinkBytesPerSecond = smallLink
 	config.Platform.DecodeTable = func(records map[string]kv.Record) (*routes.Table, error) {
 		version := versionOf(records["config"].Value)
-		s.note(fmt.Sprint("version ", version), name)
+		s.recordKnown(fmt.Sprint("version ", version), name)
 		return routes.New(version, nil, nil, routes.Limits{}), nil
 	}
 	config.Platform.DecodeUpstream = func(record kv.Record) (fleet.Upstream, error) {
 		entry, _, _ := strings.Cut(string(record.Value), entryPadding)
 		id, state, _ := strings.Cut(entry, " ")
 		if state != "" {
-			s.note(id+" leaves", name)
+			s.recordKnown(id+" leaves", name)
 		}
 		return fleet.Upstream{ID: id, Service: "s", Leaving: state != "", Revision: record.Revision}, nil
 	}
@@ -135,7 +136,8 @@
 	})
 }
 
-// serveRequests has each upstream a request under way, and each box outcomes to tell.
+// serveRequests records a running request for each upstream, and makes each box record outcomes of requests until
+// ctx ends.
 func (s *smallBoxes) serveRequests(ctx context.Context) {
 	for n := range s.size.upstreams {
 		choice := dispatch.Choice{Upstream: &fleet.State{Upstream: &fleet.Upstream{ID: upstreamName(n)}}}
@@ -146,7 +148,8 @@
 	}
 }
 
-// recordOutcomes has a box record about as many outcomes of requests as a box has at the size designed for: 8 a second.
+// recordOutcomes makes a box record 8 outcomes of requests per second until ctx ends, about as many as a box has at
+// the size designed for.
 func recordOutcomes(ctx context.Context, node *Node, n, upstreams int) {
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	for pause.For(ctx, 125*time.Millisecond) == nil {
@@ -154,8 +157,8 @@
 	}
 }
 
-// configOf is a configuration of a number of routes, as long and as varied as the platform's are.
-func configOf(version int64, count int) string {
+// configText returns a configuration with a number of routes, as long and as varied as the platform's.
+func configText(version int64, count int) string {
 	type route struct {
 		Name, Host, PathPrefix, Kind, Service string
 		TimeoutMs, TargetLatencyMs, Priority  int
@@ -184,18 +187,18 @@
 	return message.Version
 }
 
-// overLink is the store as a box reaches it: its answers come through the box's link, and none come while the store is
-// away.
-func (s *smallBoxes) overLink(link *spectest.Link) kv.Store {
+// storeOverLink returns the store for a box: answers arrive over the box's link, and calls fail while the store is
+// down.
+func (s *smallBoxes) storeOverLink(link *spectest.Link) kv.Store {
 	receive := func(ctx context.Context, bytes int) error {
-		if s.storeAway.Load() {
+		if s.storeDown.Load() {
 			_ = pause.For(ctx, storeTimeout) // The call fails either way.
 			return kv.ErrUnavailable
 		}
-		callCtx, cancel := context.WithTimeout(ctx, storeTransfer)
+		callCtx, cancel := context.WithTimeout(ctx, storeTransferTimeout)
 		defer cancel()
-		const base64Share = 4.0 / 3
-		if link.Receive(callCtx, int(float64(bytes)*base64Share)) != nil {
+		const base64Factor = 4.0 / 3
+		if link.Receive(callCtx, int(float64(bytes)*base64Factor)) != nil {
 			return kv.ErrUnavailable
 		}
 		return nil
@@ -213,7 +216,7 @@
 		return snapshot, receive(ctx, bytes)
 	}
 	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
-		return delivering(ctx, s.memory, watching, func(batch []kv.Event) error {
+		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
 			bytes := 0
 			for _, event := range batch {
 				bytes += len(event.Record.Value)
@@ -234,12 +237,12 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// change writes a record and notes when, under the change's name.
+// change writes a record and stores the time under the change's name.
 func (s *smallBoxes) change(name, key, value string) {
 	s.changeAsOf(time.Now(), name, key, value)
 }
 
-// changeAsOf writes a record; its time counts from at.
+// changeAsOf writes a record and stores at as the time of the change.
 func (s *smallBoxes) changeAsOf(at time.Time, name, key, value string) {
 	s.put(key, value)
 	s.mu.Lock()
@@ -247,8 +250,8 @@
 	s.written[name] = at
 }
 
-// note notes that a box knows of a change.
-func (s *smallBoxes) note(change, box string) {
+// recordKnown records that a box knows of a change.
+func (s *smallBoxes) recordKnown(change, box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.known[change] == nil {
@@ -259,9 +262,10 @@
 	}
 }
 
-// longest is the longest time from the write of a change whose name contains text until a box knew of it. A newer version of
-// the configuration counts as the older ones; a box that never knew counts as an hour.
-func (s *smallBoxes) longest(text string) time.Duration {
+// longestDelay returns the longest time from the write of a change whose name contains text until a box knew of it.
+// A box that knows a newer version of the configuration knows the older ones. A box that never knew counts as an
+// hour.
+func (s *smallBoxes) longestDelay(text string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	longest := time.Duration(0)
@@ -276,7 +280,7 @@
 	return longest
 }
 
-// knownAt is when a box knew of a change, or of a later version of the configuration. The caller holds the lock.
+// knownAt returns when a box knew of a change, or of a later version of the configuration. The caller holds s.mu.
 func (s *smallBoxes) knownAt(change, box string) time.Time {
 	at := time.Now().Add(time.Hour)
 	var version int64
--- a/internal/node/start_size_test.go
+++ b/internal/node/start_size_test.go
@@ -22,33 +22,35 @@
 )
 
 const (
-	// pageRecords is how many records one page of the store holds, and pageTime how long its one link takes to send it.
+	// pageRecords is how many records one page of the store holds, and pageTime how long the store's link takes to
+	// send it.
 	pageRecords = 500
 	pageTime    = 3 * time.Millisecond
 )
 
 const ciStartBoxes = 60
 
-// startBoxes is how many boxes start together in the spec of their watches; CI has ciStartBoxes.
+// startBoxes is how many boxes start together in the spec of their watches; CI uses ciStartBoxes.
 var startBoxes = flag.Int("start-boxes", ciStartBoxes, "how many boxes start together while thousands of upstreams join")
 
 // pagedStore is a store that answers in pages, over one link that all boxes share.
 type pagedStore struct {
 	memory kv.Store
 	pages  atomic.Int64
-	// watched is how many records watches brought.
+	// watched counts the records that watches delivered.
 	watched atomic.Int64
 	// writeTime is how long a write of a box takes.
 	writeTime time.Duration
-	// link is held while a page is sent; a channel, since a mutex would hold the bubble's clock.
+	// link is a semaphore that is held while a page is sent. It is a channel since a goroutine that waits for a mutex
+	// would stop the bubble's clock.
 	link chan struct{}
 }
 
-// store is the store as one box has it, which counts in watched what its watches bring.
+// store returns the store for one box. It adds to watched the records that the box's watches deliver.
 func (s *pagedStore) store(watched *atomic.Int64) kv.Store {
 	store := s.memory
 	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
-		return delivering(ctx, s.memory, watching, func(batch []kv.Event) error {
+		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
 			s.watched.Add(int64(len(batch)))
 			watched.Add(int64(len(batch)))
 			return s.send(ctx, len(batch))
@@ -61,14 +63,14 @@
 		return s.memory.Swap(ctx, swap)
 	}
 	store.Snapshot = func(ctx context.Context, prefix string) (kv.Snapshot, error) {
-		snapshot, _, err := s.within(ctx, prefix, 1<<30)
+		snapshot, _, err := s.snapshotWithin(ctx, prefix, 1<<30)
 		return snapshot, err
 	}
-	store.SnapshotWithin = s.within
+	store.SnapshotWithin = s.snapshotWithin
 	return store
 }
 
-// send has the link busy for as long as some records take.
+// send keeps the link busy for as long as a number of records take.
 func (s *pagedStore) send(ctx context.Context, records int) error {
 	select {
 	case s.link <- struct{}{}:
@@ -79,7 +81,8 @@
 	return pause.For(ctx, pageTime*time.Duration(records)/pageRecords)
 }
 
-func (s *pagedStore) within(ctx context.Context, prefix string, most int) (snapshot kv.Snapshot, complete bool, err error) {
+// snapshotWithin reads a prefix page by page. It stops incomplete once it has read more than most records.
+func (s *pagedStore) snapshotWithin(ctx context.Context, prefix string, most int) (snapshot kv.Snapshot, complete bool, err error) {
 	all, err := s.memory.Snapshot(ctx, prefix)
 	if err != nil {
 		return kv.Snapshot{}, false, err
@@ -104,32 +107,34 @@
 	}
 }
 
-// startedFleet is boxes that start together before a store that has many upstreams.
+// startedFleet is a fleet of boxes that start together, with a store that has many upstreams.
 type startedFleet struct {
-	paged    *pagedStore
-	nodes    []*Node
-	stops    []context.CancelFunc
-	stopped  sync.WaitGroup
-	boxes    int
-	begun    time.Time
-	network  spectest.Network
-	seedDead bool
-	// joins is over how long the upstreams join, from when the boxes start.
-	joins time.Duration
-	// bytesPerSecond is the rate of each box's link; 0 is no bound.
+	paged     *pagedStore
+	nodes     []*Node
+	stops     []context.CancelFunc
+	stopped   sync.WaitGroup
+	boxes     int
+	begun     time.Time
+	network   spectest.Network
+	seedsDown bool
+	// joinTime is the time, from the start of the boxes, within which the upstreams join. 0 means that they joined
+	// before.
+	joinTime time.Duration
+	// bytesPerSecond is the rate of each box's link; 0 means no bound.
 	bytesPerSecond int64
 	// writeTime is how long a write of a box takes.
 	writeTime time.Duration
 	links     map[string]*spectest.Link
-	// lines are those of all boxes, each with its name, and watchedBy how many records the watches of each brought.
+	// lines holds the log lines of all boxes with their names, and watchedBy how many records the watches of each
+	// delivered.
 	lines     *observer.ObservedLogs
 	logTo     zapcore.Core
 	watchedBy []atomic.Int64
-	// unasked is the longest time, since a box first had a copy, for which the store had answered none of them.
-	unasked time.Duration
+	// longestSilence is the longest time in which the store answered no box, since a box first had a copy of it.
+	longestSilence time.Duration
 }
 
-// dial connects a box to others, over their links if they have any.
+// dial returns the dial function of a box, which connects over the boxes' links if their rate is bounded.
 func (f *startedFleet) dial(address string) dialFunc {
 	if f.bytesPerSecond == 0 {
 		return f.network.Dial
@@ -143,9 +148,11 @@
 	return f.links[address].Dial(&f.network, func(to string) *spectest.Link { return f.links[to] })
 }
 
-func (f *startedFleet) run(boxes, upstreams int, seedsDead bool) (pages int64, took time.Duration) {
+// run starts the boxes and waits, for a minute at most, until all are ready and know all upstreams. It returns how
+// many pages were read from the store, and how long it took.
+func (f *startedFleet) run(boxes, upstreams int, seedsDown bool) (pages int64, took time.Duration) {
 	spectest.Bubble(func() {
-		f.boxes, f.seedDead = boxes, seedsDead
+		f.boxes, f.seedsDown = boxes, seedsDown
 		f.watchedBy = make([]atomic.Int64, boxes)
 		f.logTo, f.lines = observer.New(zap.InfoLevel)
 		memory := kv.NewMemory().Store()
@@ -154,13 +161,13 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		put("config")
-		joined := func(from, to int) {
+		join := func(from, to int) {
 			for n := from; n < to; n++ {
 				put(fmt.Sprintf("servers/e%05d", n))
 			}
 		}
-		if f.joins == 0 {
-			joined(0, upstreams)
+		if f.joinTime == 0 {
+			join(0, upstreams)
 		}
 		f.paged = &pagedStore{memory: memory, writeTime: f.writeTime, link: make(chan struct{}, 1)}
 		begun := time.Now()
@@ -168,12 +175,12 @@
 		for n := range boxes {
 			f.start(n)
 		}
-		if f.joins > 0 {
+		if f.joinTime > 0 {
 			const rounds = 60
 			go func() {
 				for round := range rounds {
-					joined(upstreams*round/rounds, upstreams*(round+1)/rounds)
-					time.Sleep(f.joins / rounds)
+					join(upstreams*round/rounds, upstreams*(round+1)/rounds)
+					time.Sleep(f.joinTime / rounds)
 				}
 			}()
 		}
@@ -187,20 +194,20 @@
 		}
 		for !ready() && time.Since(begun) < time.Minute {
 			time.Sleep(50 * time.Millisecond)
-			f.unasked = max(f.unasked, f.sinceAsked())
+			f.longestSilence = max(f.longestSilence, f.sinceAnswer())
 		}
 		pages, took = f.paged.pages.Load(), time.Since(begun)
 		for _, stop := range f.stops {
 			stop()
 		}
 		f.stopped.Wait()
-		time.Sleep(time.Minute) // What was begun for a term ends with it.
+		time.Sleep(time.Minute) // Work that was started for a term of the order lease ends with it.
 	})
 	return pages, took
 }
 
-// sinceAsked is how long ago the store last answered any box.
-func (f *startedFleet) sinceAsked() (least time.Duration) {
+// sinceAnswer returns how long ago the store last answered any box, or -1 if it answered none.
+func (f *startedFleet) sinceAnswer() (least time.Duration) {
 	least = -1
 	for _, node := range f.nodes {
 		if age := node.view.Mirror().StoreAge(); age >= 0 && (least < 0 || age < least) {
@@ -216,7 +223,7 @@
 	config.Log = zap.New(f.logTo).With(zap.String("box", smallBoxName(n)))
 	for k := range min(3, f.boxes) {
 		seed := smallBoxAddress(k)
-		if f.seedDead {
+		if f.seedsDown {
 			seed = fmt.Sprint("gone", k, ":1")
 		}
 		config.Seeds = append(config.Seeds, seed)
@@ -235,7 +242,8 @@
 	})
 }
 
-// writeFollowers writes to the spec's output why boxes followed the store themselves.
+// writeFollowers writes to the spec's output how many records each box's watches delivered, and when and why boxes
+// began and ceased to follow the store themselves.
 func (f *startedFleet) writeFollowers() {
 	for n := range f.watchedBy {
 		GinkgoWriter.Printf("%s: %d records by watches\n", smallBoxName(n), f.watchedBy[n].Load())
@@ -247,7 +255,8 @@
 	}
 }
 
-// While each box that started read the whole store, 986 boxes before 10,002 upstreams took 21,700 calls, and 3 GB over the store's link.
+// These specs guard against starts that overload the store. When each starting box read the whole store, 986 boxes
+// with 10,002 upstreams caused 21,700 calls, and 3 GB over the store's link.
 var _ = Describe("boxes that start together", func() {
 	const upstreams = 4000 // Nine pages.
 
@@ -259,7 +268,7 @@
 		for _, boxes := range sizes {
 			pages, took := new(startedFleet).run(boxes, upstreams, false)
 			GinkgoWriter.Printf("%d boxes: %d pages read, all ready after %v\n", boxes, pages, took)
-			// Three seeds read it whole, the others two pages; a tenth may have waited in vain.
+			// Three seeds read the whole store, the others two pages. A tenth may have waited for a copy in vain.
 			Expect(pages).To(BeNumerically("<=", 2*boxes+(3+boxes/10)*10))
 			Expect(took).To(BeNumerically("<", 5*time.Second))
 		}
@@ -270,9 +279,9 @@
 		if raceDetector {
 			boxes = 24
 		}
-		// What a relay sends grows with its hall.
+		// The data that a relay sends grows with the size of its hall.
 		rate := bytesPerSecond * int64(max(boxes, ciStartBoxes)) / ciStartBoxes
-		fleet := &startedFleet{joins: 3 * time.Second, bytesPerSecond: rate}
+		fleet := &startedFleet{joinTime: 3 * time.Second, bytesPerSecond: rate}
 		_, took := fleet.run(boxes, upstreams, false)
 		watched := fleet.paged.watched.Load()
 		fleet.writeFollowers()
@@ -285,16 +294,16 @@
 		Entry("over links that exchanges nearly fill", int64(500_000)),
 	)
 
-	It("have the store asked by some of them all the time", func() {
-		// No box is listed when the first ones read the store.
-		fleet := &startedFleet{joins: 3 * time.Second, bytesPerSecond: 500_000, writeTime: 300 * time.Millisecond}
+	It("always have a few of them poll the store", func() {
+		// No box is listed yet when the first ones read the store.
+		fleet := &startedFleet{joinTime: 3 * time.Second, bytesPerSecond: 500_000, writeTime: 300 * time.Millisecond}
 		fleet.run(24, upstreams, false)
-		GinkgoWriter.Printf("asked nothing for %v\n", fleet.unasked)
-		// Twice for as long as a box that watches the store for all gathers changes.
-		Expect(fleet.unasked).To(BeNumerically("<", 500*time.Millisecond))
+		GinkgoWriter.Printf("no answer of the store for %v\n", fleet.longestSilence)
+		// Twice the time for which a box that watches the store for all boxes gathers changes.
+		Expect(fleet.longestSilence).To(BeNumerically("<", 500*time.Millisecond))
 	})
 
-	It("read it themselves where no seed lives, a few first", func() {
+	It("read a large store themselves if no seed is up, a few of them first", func() {
 		boxes := 40
 		if raceDetector {
 			boxes = 18
@@ -305,7 +314,7 @@
 		Expect(pages).To(BeNumerically("<", int64(boxes*9)))
 	})
 
-	It("read a small store at once, each by itself", func() {
+	It("each read a small store themselves at once", func() {
 		pages, took := new(startedFleet).run(7, 40, false)
 		Expect(took).To(BeNumerically("<", 200*time.Millisecond))
 		Expect(pages).To(BeNumerically("<=", 2*7))
--- a/internal/node/store_calls_test.go
+++ b/internal/node/store_calls_test.go
@@ -13,13 +13,13 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// storeCalls counts a fleet's calls of the store by kind. Each answer of a watch is a call.
+// storeCalls counts a fleet's calls of the store by kind. Each poll of a watch is a call.
 type storeCalls struct {
 	polls, snapshots, gets, swaps, grants, revokes atomic.Int64
 }
 
-// counting is a store whose calls are counted.
-func (c *storeCalls) counting(store kv.Store) kv.Store {
+// countingStore returns the store with its calls counted in c.
+func (c *storeCalls) countingStore(store kv.Store) kv.Store {
 	counted := store
 	counted.Get = func(ctx context.Context, key string) (kv.Record, error) {
 		c.gets.Add(1)
@@ -55,7 +55,7 @@
 	return counted
 }
 
-// total is the number of all calls.
+// total returns the number of all calls.
 func (c *storeCalls) total() int64 {
 	return c.polls.Load() + c.snapshots.Load() + c.gets.Load() + c.swaps.Load() + c.grants.Load() + c.revokes.Load()
 }
@@ -65,39 +65,40 @@
 		c.polls.Load(), c.snapshots.Load(), c.gets.Load(), c.swaps.Load(), c.grants.Load(), c.revokes.Load())
 }
 
-// changeUpstreams changes entries of upstreams for a while, as engines do that load and unload models: entryBytes long, a
-// number a second.
-func (s *smallBoxes) changeUpstreams(during time.Duration, aSecond int) {
+// changeUpstreams writes entries of upstreams for a duration and at a rate, as engines do that load and unload
+// models. The entries are entryBytes long.
+func (s *smallBoxes) changeUpstreams(duration time.Duration, perSecond int) {
 	const entryBytes = 600
 	begun := time.Now()
-	for n := 0; time.Since(begun) < during; n++ {
+	for n := 0; time.Since(begun) < duration; n++ {
 		id := upstreamName(n % s.size.upstreams)
 		s.put("servers/"+id, id+entryPadding+strings.Repeat("m", entryBytes))
-		time.Sleep(time.Second / time.Duration(aSecond))
+		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 }
 
-// The specs' fleet and how long upstreams change. Under the race detector both are as small as relays allow, since its
-// runtime fails in itself the sooner the more it follows (docs/FINDINGS.md, open 13); CI runs them in full without it.
-var storeCallsSize, changingFor = smallFleetSize{boxes: 86, halls: 4, upstreams: 64}, 6 * time.Second
+// storeCallsSize is the specs' fleet, and changeTime is how long upstreams change. Under the race detector both are
+// as small as relays allow, since its runtime itself fails the sooner the more it tracks (docs/FINDINGS.md, open
+// 13). CI runs the specs in full without it.
+var storeCallsSize, changeTime = smallFleetSize{boxes: 86, halls: 4, upstreams: 64}, 6 * time.Second
 
 var _ = Describe("the store of a large fleet", func() {
-	// 70 changes a second are those of 34 loads a second, each beside an unload: the entries of four exchanges a second are
-	// longer than an answer to an exchange holds.
-	It("is asked by a few boxes while the entries of many upstreams change", func() {
+	// 34 loads a second, each with an unload, make 70 changes a second. The entries changed between two exchanges, of
+	// which there are four a second, are longer than an answer to an exchange can hold.
+	It("is polled by a few boxes while the entries of many upstreams change", func() {
 		withSmallBoxes(storeCallsSize, func(s *smallBoxes) {
 			before := s.calls.polls.Load()
-			s.changeUpstreams(changingFor, 70)
+			s.changeUpstreams(changeTime, 70)
 			asked := s.calls.polls.Load() - before
-			GinkgoWriter.Printf("%d polls in %s\n", asked, changingFor)
+			GinkgoWriter.Printf("%d polls in %s\n", asked, changeTime)
 			// The order holder gathers changes for 0.15 s and two watching boxes for 0.25 s, and each asks ahead; one poll of
 			// every second other box is room for those whose relay is late.
-			const watchingASecond = 7 + 2*5
-			Expect(asked).To(BeNumerically("<=", int(changingFor.Seconds())*watchingASecond+len(s.nodes)/2))
+			const pollsPerSecond = 7 + 2*5
+			Expect(asked).To(BeNumerically("<=", int(changeTime.Seconds())*pollsPerSecond+len(s.nodes)/2))
 		})
 	})
 
-	It("is asked a few times by each box that starts", func() {
+	It("is called a few times by each box that starts", func() {
 		withSmallBoxes(storeCallsSize, func(s *smallBoxes) {
 			GinkgoWriter.Println(&s.calls)
 			// A snapshot, a poll, a grant and a swap each; and in 8 s five polls a second of the three boxes that watch.
