--- a/internal/endtoend/bundles_test.go
+++ b/internal/endtoend/bundles_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// bundleText is a bundle of test models, each with weights of a version and so much memory, and of
-// the plain service portal.
+// bundleText returns a bundle with test models and the plain service portal. Each model has the given
+// version of its weights and the given memory.
 func bundleText(version int, weights string, memory string, models ...string) string {
 	sum := sha256.Sum256([]byte(callerToken))
 	var b strings.Builder
@@ -25,19 +25,19 @@
 	return b.String()
 }
 
-// operate runs a bundle command on a text against a box.
-func operate(p *process, verb, yaml string) (string, int) {
+// runBundleCommand runs a bundle command with a YAML text against a box. It returns its output and exit code.
+func runBundleCommand(p *process, verb, yaml string) (string, int) {
 	file := filepath.Join(GinkgoT().TempDir(), "bundle.yaml")
 	Expect(os.WriteFile(file, []byte(yaml), 0o600)).To(Succeed())
 	return command("bundle", verb, file, "--box", "http://"+p.address, "--token", operatorToken)
 }
 
-// roll signs a text off and puts it in force.
+// roll signs a bundle off and puts it in force. It tries again for up to 40 s if the latter fails.
 func roll(p *process, yaml string) {
-	out, code := operate(p, "sign-off", yaml)
+	out, code := runBundleCommand(p, "sign-off", yaml)
 	Expect(code).To(Equal(0), out)
 	Eventually(func() string {
-		out, code := operate(p, "roll", yaml)
+		out, code := runBundleCommand(p, "roll", yaml)
 		if code == 0 {
 			return ""
 		}
--- a/internal/endtoend/calls_test.go
+++ b/internal/endtoend/calls_test.go
@@ -26,14 +26,14 @@
 	callerToken   = "acme-caller"
 )
 
-// authorized is a message with the caller's token.
+// authorized returns a request with a message and the caller's token.
 func authorized[T any](message *T) *connect.Request[T] {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+callerToken)
 	return request
 }
 
-// wholeAnswer is the answer to a prompt by a model with weights, in so many pieces.
+// wholeAnswer returns the whole answer of a model to a prompt, with a version of its weights and a number of pieces.
 func wholeAnswer(model, weights, prompt string, pieces int) string {
 	return strings.Join(standin.Answer("acme/"+model+"@"+model+"-"+weights, "", prompt, pieces), "")
 }
@@ -51,7 +51,7 @@
 	return answer.Msg.GetText(), nil
 }
 
-// outcomeOf is a request's outcome by the refusal in its error.
+// outcomeOf returns the outcome in the refusal that an error carries, or OUTCOME_UNSPECIFIED.
 func outcomeOf(err error) ospreymoorv1.Outcome {
 	var answer *connect.Error
 	if !errors.As(err, &answer) {
@@ -67,7 +67,7 @@
 	return ospreymoorv1.Outcome_OUTCOME_UNSPECIFIED
 }
 
-// awaitModels waits until each model answers at a box.
+// awaitModels waits until a box answers requests for each model.
 func awaitModels(p *process, models ...string) {
 	for _, model := range models {
 		Eventually(func() error {
@@ -79,7 +79,7 @@
 	}
 }
 
-// findings collects what concurrent callers found.
+// findings collects the wrong results that concurrent callers found. It is safe for concurrent use.
 type findings struct {
 	mu    sync.Mutex
 	texts []string
@@ -105,7 +105,8 @@
 	return conn
 }
 
-// post sends a plain-service call with a key; status 0 means that it failed before an answer.
+// post sends a plain-service call with a request key. It returns the status and body of the answer, or
+// status 0 and the error if the call failed before an answer.
 func (p *process) post(key, body string) (int, string) {
 	request := serviceRequest(p, http.MethodPost, "/services/portal/reports", body)
 	request.Header.Set("Request-Key", key)
@@ -119,13 +120,13 @@
 	return response.StatusCode, string(text)
 }
 
-// newKey makes a request key.
+// newKey returns a new request key.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// get is a plain-service call by the caller.
+// get returns a plain-service GET request with the caller's token.
 func get(p *process, path string) *http.Request { return serviceRequest(p, http.MethodGet, path, "") }
 
-// serviceRequest is a plain-service call with a body by the caller.
+// serviceRequest returns a plain-service request with a body and the caller's token.
 func serviceRequest(p *process, method, path, body string) *http.Request {
 	request, err := http.NewRequest(method, "http://"+p.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/endtoend/doc.go
+++ b/internal/endtoend/doc.go
@@ -1,3 +1,3 @@
-// Package endtoend drives the real processes: entry boxes and stand-ins of the systems
-// around them, started from the one binary, killed, frozen and stopped by its tests.
+// Package endtoend tests real processes: entry boxes and stand-ins of the systems around them. Its
+// specs start them from the one binary, and kill, freeze and stop them.
 package endtoend
--- a/internal/endtoend/faults_test.go
+++ b/internal/endtoend/faults_test.go
@@ -16,8 +16,8 @@
 
 var _ = Describe("Real processes under kills and freezes", func() {
 	for _, unfenced := range []bool{false, true} {
-		It(fmt.Sprintf("never overcommit memory when a controller is frozen past its lease and thawed (unfenced engines: %v)", unfenced), func() {
-			f := oneHall(engineSpec{memory: 40 * gib, unfenced: unfenced}, "12GiB", "m1", "m2")
+		It(fmt.Sprintf("never overcommit memory when a controller is frozen past its lease and resumed (unfenced engines: %v)", unfenced), func() {
+			f := startOneHall(engineSpec{memory: 40 * gib, unfenced: unfenced}, "12GiB", "m1", "m2")
 			frozen, other := f.controllerOf("hall-1")
 			frozen.signal(syscall.SIGSTOP)
 			Eventually(func() bool { return other.holdsLease("leases/hall/hall-1") }, 30*time.Second).Should(BeTrue())
@@ -25,7 +25,7 @@
 			time.Sleep(2 * time.Second)
 			frozen.signal(syscall.SIGCONT)
 			roll(other, bundleText(3, "w3", "12GiB", "m1", "m2"))
-			// The generation goes on meanwhile: both are to be at the same one at the same time.
+			// The generation keeps rising, so both boxes must be at the same one at the same time.
 			behind := func() float64 {
 				return other.metric("ospreymoor_in_force_generation") - frozen.metric("ospreymoor_in_force_generation")
 			}
@@ -37,8 +37,8 @@
 		})
 	}
 
-	It("hand the whole answer to a retry when the box that ran the request is killed", func() {
-		f := oneHall(engineSpec{memory: 64 * gib, token: 40 * time.Millisecond}, "8GiB", "writer")
+	It("return the whole answer to a retry when the box that ran the request is killed", func() {
+		f := startOneHall(engineSpec{memory: 64 * gib, token: 40 * time.Millisecond}, "8GiB", "writer")
 		request := &ospreymoorv1.GenerateRequest{
 			Model: "writer", Prompt: "issue report 17", MaxTokens: 40,
 			NotRepeatable: true, RequestKey: newKey(), FirstAttempt: true,
@@ -60,8 +60,8 @@
 		Expect(f.startsOf("issue report 17")).To(Equal(1))
 	})
 
-	It("run keyed requests at most once while a box freezes and thaws, and 'not run' is true", func() {
-		f := oneHall(engineSpec{memory: 64 * gib}, "8GiB", "writer")
+	It("run keyed requests at most once while a box is frozen and resumed, and report 'not run' only if it is true", func() {
+		f := startOneHall(engineSpec{memory: 64 * gib}, "8GiB", "writer")
 		var found findings
 		var callers sync.WaitGroup
 		for caller := range 6 {
@@ -69,7 +69,7 @@
 			callers.Go(func() {
 				defer GinkgoRecover()
 				for n := range 6 {
-					keyedUntilAnswered(f, random, fmt.Sprintf("r%d-%d", caller, n), &found)
+					sendKeyedUntilAnswered(f, random, fmt.Sprintf("r%d-%d", caller, n), &found)
 				}
 			})
 		}
@@ -90,9 +90,9 @@
 		Expect(found.all()).To(BeEmpty())
 	})
 
-	It("refuse keyed requests at once while the platform is down, and serve all others", func() {
-		f := oneHall(engineSpec{memory: 64 * gib}, "8GiB", "writer")
-		f.platformMode("down")
+	It("refuse keyed requests immediately while the platform is down, and serve all others", func() {
+		f := startOneHall(engineSpec{memory: 64 * gib}, "8GiB", "writer")
+		f.setPlatformMode("down")
 		request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "x", NotRepeatable: true, RequestKey: newKey(), FirstAttempt: true}
 		_, err := f.boxes["b1"].complete(context.Background(), request)
 		Expect(outcomeOf(err)).To(Equal(ospreymoorv1.Outcome_OUTCOME_NOT_RUN))
@@ -104,8 +104,8 @@
 		Eventually(f.boxes["b3"].ready, 20*time.Second).Should(BeTrue())
 		awaitModels(f.boxes["b3"], "writer")
 
-		By("running the request when the platform is back")
-		f.platformMode("up")
+		By("running the request once the platform is up again")
+		f.setPlatformMode("up")
 		Eventually(func() error {
 			request.FirstAttempt = false
 			_, err := f.boxes["b3"].complete(context.Background(), request)
@@ -115,9 +115,9 @@
 	})
 })
 
-// keyedUntilAnswered sends one keyed request to random boxes until it is answered; it records a
-// 'not run' that was not true when it came.
-func keyedUntilAnswered(f *fleet, random *rand.Rand, prompt string, found *findings) {
+// sendKeyedUntilAnswered sends one keyed request to random boxes until it is answered. It adds a finding
+// for each 'not run' that arrives when the request has been started.
+func sendKeyedUntilAnswered(f *fleet, random *rand.Rand, prompt string, found *findings) {
 	request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: prompt, MaxTokens: 8, NotRepeatable: true, RequestKey: newKey()}
 	for try := range 10 {
 		request.FirstAttempt = try == 0
@@ -126,12 +126,12 @@
 		cancel()
 		if err == nil {
 			if text != wholeAnswer("writer", "w1", prompt, 8) {
-				found.add(prompt + ": not the whole answer of its own: " + text)
+				found.add(prompt + ": the answer is not the whole answer to this prompt: " + text)
 			}
 			return
 		}
 		if outcomeOf(err) == ospreymoorv1.Outcome_OUTCOME_NOT_RUN && f.startsOf(prompt) > 0 {
-			found.add(prompt + ": told not run, but had been started: " + err.Error())
+			found.add(prompt + ": reported as not run, but had been started: " + err.Error())
 		}
 		time.Sleep(time.Duration(100+random.IntN(300)) * time.Millisecond)
 	}
--- a/internal/endtoend/fleet_test.go
+++ b/internal/endtoend/fleet_test.go
@@ -17,7 +17,7 @@
 
 const gib = 1 << 30
 
-// fleet is a small fleet of real processes.
+// fleet is a small fleet of real processes. The maps are by id.
 type fleet struct {
 	platform *process
 	engines  map[string]*process
@@ -25,7 +25,7 @@
 	boxes    map[string]*process
 }
 
-// engineSpec describes an engine stand-in: its memory in bytes, and the time of each token.
+// engineSpec describes an engine stand-in: its memory in bytes, and the time that it takes for each token.
 type engineSpec struct {
 	id, hall string
 	memory   int64
@@ -33,7 +33,7 @@
 	token    time.Duration
 }
 
-// startFleet starts a platform and a plain service in each hall; boxes and engines follow.
+// startFleet starts a platform, and a plain service in each hall. Boxes and engines are added later.
 func startFleet(halls ...string) *fleet {
 	f := &fleet{engines: map[string]*process{}, services: map[string]*process{}, boxes: map[string]*process{}}
 	f.platform = f.startStandin("platform")
@@ -45,7 +45,7 @@
 	return f
 }
 
-// startStandin starts a stand-in of a kind on a free port.
+// startStandin starts a stand-in of a kind on a free port, and waits until it listens.
 func (f *fleet) startStandin(kind string, arguments ...string) *process {
 	session := start(append([]string{"standin", kind, "--listen", "127.0.0.1:0"}, arguments...)...)
 	Eventually(session.Out, 20*time.Second).Should(gbytes.Say("listening on"))
@@ -97,15 +97,15 @@
 	Expect(response.Body.Close()).To(Succeed())
 }
 
-// platformMode takes up, down or lost.
-func (f *fleet) platformMode(mode string) {
+// setPlatformMode sets the mode of the platform stand-in: up, down or lost.
+func (f *fleet) setPlatformMode(mode string) {
 	response, err := http.Post("http://"+f.platform.address+"/standin/mode?mode="+mode, "", nil)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(response.Body.Close()).To(Succeed())
 }
 
-// twoHalls starts two halls, each with a box and an engine, and a bundle in force.
-func twoHalls(models ...string) *fleet {
+// startTwoHalls starts two halls, each with a box and an engine, and a bundle in force.
+func startTwoHalls(models ...string) *fleet {
 	f := startFleet("hall-1", "hall-2")
 	for _, hall := range []string{"hall-1", "hall-2"} {
 		f.addEngine(engineSpec{id: hall + "-engine", hall: hall, memory: 64 * gib})
@@ -118,7 +118,7 @@
 	return f
 }
 
-// controllerOf finds the box that holds a hall's lease, and another one.
+// controllerOf returns the box that holds a hall's lease, and another box.
 func (f *fleet) controllerOf(hall string) (controller, other *process) {
 	Eventually(func() *process {
 		for _, b := range f.boxes {
@@ -136,7 +136,7 @@
 	return controller, other
 }
 
-// overcommitted counts the loads that took memory past an engine's capacity.
+// overcommitted counts the loads that exceeded an engine's memory.
 func (f *fleet) overcommitted() int {
 	n := 0
 	for _, e := range f.engines {
@@ -145,7 +145,7 @@
 	return n
 }
 
-// startsOf counts the starts of a prompt on all engines.
+// startsOf counts how often a prompt was started on all engines together.
 func (f *fleet) startsOf(prompt string) int {
 	n := 0
 	for _, e := range f.engines {
@@ -154,8 +154,8 @@
 	return n
 }
 
-// oneHall starts a hall of two boxes and two engines with a bundle in force.
-func oneHall(engine engineSpec, memory string, models ...string) *fleet {
+// startOneHall starts a hall with two boxes and two engines, and a bundle in force.
+func startOneHall(engine engineSpec, memory string, models ...string) *fleet {
 	f := startFleet("hall-1")
 	for _, id := range []string{"e1", "e2"} {
 		engine.id, engine.hall = id, "hall-1"
--- a/internal/endtoend/path_test.go
+++ b/internal/endtoend/path_test.go
@@ -18,7 +18,7 @@
 
 var _ = Describe("The whole path in separate processes", func() {
 	It("serves models, plain services and requests that may not be repeated", func() {
-		f := twoHalls("writer")
+		f := startTwoHalls("writer")
 		one, two := f.boxes["hall-1-box"], f.boxes["hall-2-box"]
 
 		By("streaming a whole answer")
@@ -73,7 +73,7 @@
 		out, code = command("bundle", "list", "--box", "http://"+two.address, "--token", operatorToken)
 		Expect(code).To(Equal(0), out)
 		Expect(out).To(MatchRegexp(`acme +1 +in force`))
-		out, code = operate(two, "retire", bundleText(1, "a", "8GiB", "writer"))
+		out, code = runBundleCommand(two, "retire", bundleText(1, "a", "8GiB", "writer"))
 		Expect(code).To(Equal(0), out)
 		Eventually(func() connect.Code {
 			_, err := one.complete(context.Background(), &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: "x"})
@@ -86,7 +86,7 @@
 	})
 
 	It("answers bad input with a typed error that names the remedy", func() {
-		f := twoHalls("writer")
+		f := startTwoHalls("writer")
 		b := f.boxes["hall-1-box"]
 		ctx := context.Background()
 
@@ -109,24 +109,24 @@
 		Expect(response.StatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(response.Body.Close()).To(Succeed())
 
-		out, code := operate(b, "sign-off", strings.Replace(bundleText(2, "b", "8GiB", "writer"), "memory", "memry", 1))
+		out, code := runBundleCommand(b, "sign-off", strings.Replace(bundleText(2, "b", "8GiB", "writer"), "memory", "memry", 1))
 		Expect(code).To(Equal(1))
 		Expect(out).To(ContainSubstring(`unknown field "memry"`))
 
-		out, code = operate(b, "roll", bundleText(9, "b", "8GiB", "writer"))
+		out, code = runBundleCommand(b, "roll", bundleText(9, "b", "8GiB", "writer"))
 		Expect(code).To(Equal(1))
 		Expect(out).To(ContainSubstring("run bundle sign-off first"))
 
-		By("surviving a garbage frame at the peer listener")
+		By("staying up after an invalid frame at the peer listener")
 		conn := dial(b.peer)
 		_, err = conn.Write([]byte("\xff\xff\xff\xff\x7fGET / HTTP/1.1\r\n\r\n"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(conn)
-		Expect(err).NotTo(HaveOccurred(), "the box hangs up")
+		Expect(err).NotTo(HaveOccurred(), "the box closes the connection")
 		awaitModels(b, "writer")
 	})
 
-	DescribeTable("stops at bad settings with one line that names flag, variable and remedy",
+	DescribeTable("exits on bad settings with one line that names the flag, the variable and the remedy",
 		func(arguments []string, line string) {
 			out, code := command(arguments...)
 			Expect(code).To(Equal(2))
--- a/internal/endtoend/process_test.go
+++ b/internal/endtoend/process_test.go
@@ -21,15 +21,15 @@
 // process is one process that a test started.
 type process struct {
 	session *gexec.Session
-	// address is host:port of its listener; peer that of a box's peer listener.
+	// address is the host:port of its listener, and peer that of a box's listener for other boxes.
 	address string
 	peer    string
 }
 
-// listening finds the address in the first line of a stand-in.
+// listening matches the address in the first output line of a stand-in.
 var listening = regexp.MustCompile(`listening on (\S+)`)
 
-// start runs the binary; the process is killed at the test's end if it still runs.
+// start starts the binary. A process that is still running at the end of the test is killed.
 func start(arguments ...string) *gexec.Session {
 	session, err := gexec.Start(exec.Command(binary, arguments...), nil, nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -40,22 +40,22 @@
 	return session
 }
 
-// logEntry is a line of a box's log, as far as specs read it.
+// logEntry holds the fields of a box's log line that specs read.
 type logEntry struct {
 	Msg string
-	// Listen and Peer are the addresses of a line "serving".
+	// Listen and Peer are the addresses in a "serving" line.
 	Listen, Peer string
-	// Key and Held are of a line "lease".
+	// Key and Held are the fields of a "lease" line.
 	Key  string
 	Held bool
 }
 
-// logged lists the lines with a message in a box's log, oldest first.
+// logged returns the lines with a message in a box's log, oldest first.
 func (p *process) logged(message string) []logEntry {
 	var entries []logEntry
 	for _, line := range strings.Split(string(p.session.Err.Contents()), "\n") {
 		var entry logEntry
-		// The last line may be half written; lines that are not JSON are not of the log.
+		// The last line may be incomplete. Lines that are not JSON do not belong to the log.
 		if json.Unmarshal([]byte(line), &entry) == nil && entry.Msg == message {
 			entries = append(entries, entry)
 		}
@@ -63,7 +63,7 @@
 	return entries
 }
 
-// findAddresses reads the addresses from the box's log, and reports whether they are there yet.
+// findAddresses reads the box's addresses from its log, and reports whether they were logged yet.
 func (p *process) findAddresses() bool {
 	entries := p.logged("serving")
 	if len(entries) == 0 {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// holdsLease reports whether a box holds a lease, by the last line of its log about it.
+// holdsLease reports whether a box holds a lease, according to the last log line about it.
 func (p *process) holdsLease(key string) bool {
 	held := false
 	for _, entry := range p.logged("lease") {
@@ -86,7 +86,7 @@
 
 func (p *process) signal(signal syscall.Signal) { p.session.Signal(signal) }
 
-// ready reports whether a box is ready; one that can't be asked is not.
+// ready reports whether a box is ready. One that does not answer is not.
 func (p *process) ready() bool {
 	response, err := http.Get("http://" + p.address + "/readyz")
 	if err != nil {
@@ -96,8 +96,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// metric reads one of a box's counters or gauges: -1 if the box can't be asked, 0 if it has none
-// of the name yet. Specs poll it.
+// metric returns the value of a box's counter or gauge. It returns 0 if there is none of that name yet, and
+// -1 if the box does not answer, so that specs can poll it.
 func (p *process) metric(name string) float64 {
 	response, err := http.Get("http://" + p.address + "/metrics")
 	if err != nil {
@@ -119,21 +119,21 @@
 	return 0
 }
 
-// record reads what an engine stand-in recorded.
+// record returns what an engine stand-in recorded.
 func (p *process) record() standin.Record {
 	var record standin.Record
 	p.readRecord(&record)
 	return record
 }
 
-// runs reads how many times a service stand-in ran each body.
+// runs returns how many times a service stand-in ran each request body.
 func (p *process) runs() map[string]int {
 	var runs map[string]int
 	p.readRecord(&runs)
 	return runs
 }
 
-// readRecord reads a stand-in's record into a value.
+// readRecord decodes a stand-in's record into a value.
 func (p *process) readRecord(into any) {
 	response, err := http.Get("http://" + p.address + "/standin/record")
 	Expect(err).NotTo(HaveOccurred())
@@ -141,12 +141,12 @@
 	Expect(json.NewDecoder(response.Body).Decode(into)).To(Succeed())
 }
 
-// command runs the binary to its end and returns its output.
+// command runs the binary until it exits, and returns its output and exit code.
 func command(arguments ...string) (string, int) {
 	session := start(arguments...)
 	session.Wait(30 * time.Second)
 	return string(session.Out.Contents()) + string(session.Err.Contents()), session.ExitCode()
 }
 
-// exitWith matches a session that has ended with a code.
+// exitWith returns a matcher of sessions that have ended with an exit code.
 var exitWith = gexec.Exit
