--- a/internal/box/body_deadline.go
+++ b/internal/box/body_deadline.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// bodyTime bounds the reading of a request's body: a caller may not hold a connection by
-// sending one byte now and then.
-const bodyTime = 30 * time.Second
+// bodyReadTimeout bounds the reading of a request's body, so that a caller cannot hold a connection by sending one
+// byte now and then.
+const bodyReadTimeout = 30 * time.Second
 
-// withBodyDeadline bounds the time in which callers send their requests; answers may take longer.
+// withBodyDeadline bounds the time in which a caller must send its request. The answer may take longer.
 func withBodyDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body == nil || r.Body == http.NoBody {
@@ -18,24 +18,24 @@
 			return
 		}
 		controller := http.NewResponseController(w)
-		_ = controller.SetReadDeadline(time.Now().Add(bodyTime))
-		r.Body = &timedBody{ReadCloser: r.Body, read: func() { _ = controller.SetReadDeadline(time.Time{}) }}
+		_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout))
+		r.Body = &timedBody{ReadCloser: r.Body, onEOF: func() { _ = controller.SetReadDeadline(time.Time{}) }}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// timedBody lifts the deadline when the body is read to its end.
+// timedBody is a request's body that calls onEOF when it has been read to its end.
 type timedBody struct {
 	io.ReadCloser
-	// read runs at the end of the body.
-	read func()
+	// onEOF removes the read deadline of the connection.
+	onEOF func()
 }
 
-// Read reads the next piece.
+// Read reads from the body and calls onEOF at its end.
 func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.read()
+		b.onEOF()
 	}
 	return n, err
 }
--- a/internal/box/body_deadline_test.go
+++ b/internal/box/body_deadline_test.go
@@ -28,7 +28,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.Body.Close()).To(Succeed())
 			Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
-			Expect(time.Since(begun)).To(BeNumerically("<=", bodyTime+time.Second))
+			Expect(time.Since(begun)).To(BeNumerically("<=", bodyReadTimeout+time.Second))
 			t.awaitModels("writer")
 		})
 	})
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -14,15 +14,15 @@
 	"ospreymoor.example/ospreymoor/internal/peer"
 )
 
-// Box is one entry box: an assembly of parts, each of which owns its state and its lock. The groups are embedded so
-// that the assembly names a part directly.
+// Box is one entry box. It assembles parts, each of which owns its state and its lock. The groups of parts are
+// embedded so that a part can be named directly.
 type Box struct {
 	config Config
 	log    *zap.Logger
 	set    *metrics.Set
 	self   *self
 
-	*links
+	*connections
 	*knowledge
 	*requests
 
@@ -31,10 +31,10 @@
 	reporter *demandReporter
 }
 
-// New returns a box that does nothing until Serve.
+// New returns a box that does nothing until Serve is called.
 func New(config Config) *Box {
 	if config.Dial == nil {
-		config.Dial = (&net.Dialer{Timeout: dialTime}).DialContext
+		config.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	b := &Box{
 		config: config,
@@ -42,16 +42,16 @@
 		set:    metrics.NewSet(),
 		self:   newSelf(config.ID, config.Hall, config.Peers.Address),
 	}
-	b.links = newLinks(config, b.self, b.log, b.set)
-	b.knowledge = newKnowledge(config, b.self, b.links, b.log, b.set)
-	b.requests = newRequests(config, b.self, b.links, b.knowledge, b.set)
+	b.connections = newConnections(config, b.self, b.log, b.set)
+	b.knowledge = newKnowledge(config, b.self, b.connections, b.log, b.set)
+	b.requests = newRequests(config, b.self, b.connections, b.knowledge, b.set)
 	b.newControl()
-	b.handlePeers()
-	b.gauges()
+	b.registerPeerHandlers()
+	b.registerGauges()
 	return b
 }
 
-// newControl makes the parts that control the hall and the fleet.
+// newControl makes the parts that take part in the control of the hall and the fleet.
 func (b *Box) newControl() {
 	b.control = newControl(controlParts{
 		config:   b.config.Control,
@@ -73,24 +73,23 @@
 		demand:    b.demand,
 		reader:    b.reader,
 		fleet:     b.fleet,
-		hallLease: b.control.hall,
+		hallLease: b.control.hallLease,
 		peers:     b.peers,
 		set:       b.set,
 	}
 }
 
-// handlePeers connects the calls of other boxes to the parts that answer them.
-func (b *Box) handlePeers() {
-	peer.Handle(b.server, peer.MethodHeartbeat, b.heartbeats.answer)
-	peer.Handle(b.server, peer.MethodRecords, b.fetcher.answer)
-	peer.Handle(b.server, peer.MethodOutcome, b.claimed.outcomes.answerPeer)
-	peer.Handle(b.server, peer.MethodDemand, b.demand.answer)
-	peer.Handle(b.server, peer.MethodKeepBurn, b.burn.keep)
-	peer.Handle(b.server, peer.MethodBurn, b.burn.answer)
+// registerPeerHandlers registers the handlers of the calls that other boxes make.
+func (b *Box) registerPeerHandlers() {
+	peer.Handle(b.server, peer.MethodHeartbeat, b.heartbeats.handleHeartbeat)
+	peer.Handle(b.server, peer.MethodRecords, b.fetcher.handleRecords)
+	peer.Handle(b.server, peer.MethodOutcome, b.claimed.outcomes.handleOutcome)
+	peer.Handle(b.server, peer.MethodDemand, b.demand.handleDemand)
+	peer.Handle(b.server, peer.MethodKeepBurn, b.burn.handleKeepBurn)
+	peer.Handle(b.server, peer.MethodBurn, b.burn.handleBurn)
 }
 
-// Run listens and serves until ctx ends, then stops without cutting off what is in flight. A port of 0 in the settings
-// takes a free one.
+// Run listens and serves until ctx ends, then drains and stops. Port 0 in the settings picks a free port.
 func Run(ctx context.Context, config Config) error {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -107,8 +106,8 @@
 	return New(config).Serve(ctx, listener, peerListener)
 }
 
-// Serve serves on listeners that the caller made until ctx ends, then drains. It returns an error only if callers cannot
-// be served.
+// Serve serves on the listeners given until ctx ends, then drains. It returns an error only if the server for callers
+// fails.
 func (b *Box) Serve(ctx context.Context, listener, peerListener net.Listener) error {
 	b.server.OnAcceptError = func(err error) { b.log.Warn("connection of another box not accepted", logfield.Error(err)) }
 	go b.server.Serve(peerListener)
@@ -120,10 +119,10 @@
 		zap.String("peer", peerListener.Addr().String()),
 		zap.String("hall", b.config.Hall))
 
-	// The loops go on while requests drain, except for the leases and what needs them.
+	// The loops go on while requests drain. The leases, the controller and the planner stop before that.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	loops := run(background, b.follower.run, b.boxList.run, b.applier.run, b.heartbeats.run, b.reporter.run, b.burn.run)
+	loops := startLoops(background, b.follower.run, b.boxList.run, b.applier.run, b.heartbeats.run, b.reporter.run, b.burn.run)
 	controlled, handOver := context.WithCancel(background)
 	defer handOver()
 	leases := b.control.start(controlled)
@@ -143,28 +142,29 @@
 	return nil
 }
 
-// closeAll ends the connections of a box whose loops have ended.
+// closeAll closes the connections of a box whose loops have ended.
 func (b *Box) closeAll(peerListener net.Listener) {
 	_ = peerListener.Close()
 	b.close()
 	b.log.Info("stopped")
 }
 
-// informGrace is how long a starting box waits for a report of its hall's engines.
-const informGrace = 10 * time.Second
+// engineReportTimeout is how long a starting box waits for a report on its hall's engines before it becomes ready
+// without one.
+const engineReportTimeout = 10 * time.Second
 
-// Ready reports whether the box should get requests: it knows what is in force, and what its hall's engines hold
-// unless no box reported that for informGrace.
+// Ready reports whether the box should get requests. It must know the bundles in force. If there are any, it must
+// also have the box list, the plan and the holdings of its hall, or have waited engineReportTimeout for them.
 func (b *Box) Ready() bool {
 	table := b.inForce.current.Load()
 	if b.self.draining.Load() || table == nil {
 		return false
 	}
-	return len(table.bundles) == 0 || b.fleet.snapshot.Load().informed || time.Since(b.self.started) > informGrace
+	return len(table.bundles) == 0 || b.fleet.snapshot.Load().complete || time.Since(b.self.started) > engineReportTimeout
 }
 
-// gauges registers the values that are read when the metrics page is.
-func (b *Box) gauges() {
+// registerGauges registers the gauges, whose values are read when the metrics are scraped.
+func (b *Box) registerGauges() {
 	b.set.NewGauge("ospreymoor_in_flight", func() float64 { return float64(b.admission.InFlight()) })
 	b.set.NewGauge("ospreymoor_in_force_generation", func() float64 {
 		if table := b.inForce.current.Load(); table != nil {
--- a/internal/box/box_list_reader.go
+++ b/internal/box/box_list_reader.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// boxesInterval is how often one of the hall's watchers reads the box list.
-	boxesInterval = 2 * time.Second
-	// boxesTime bounds one reading of the box list.
-	boxesTime = 2 * time.Second
-	// maxListBytes bounds the box list that is read, in bytes.
+	// boxListInterval is how often a box that watches the store reads the box list.
+	boxListInterval = 2 * time.Second
+	// boxListTimeout bounds one read of the box list.
+	boxListTimeout = 2 * time.Second
+	// maxListBytes bounds the size of the box list in bytes.
 	maxListBytes = 4 << 20
 )
 
-// boxListReader keeps the platform's box list in the cache. Watchers of the store read it often, the others slowly
-// beside what heartbeats bring.
+// boxListReader keeps the platform's box list in the cache. The hall's watchers of the store read it every
+// boxListInterval. The other boxes get it with heartbeats and read it themselves only every pollInterval.
 type boxListReader struct {
-	// url is the platform's base.
+	// url is the platform's base URL.
 	url     string
 	client  *http.Client
 	members *members
 	cache   *records.Cache
-	// tidy runs after each reading.
-	tidy *tidier
-	set  *metrics.Set
+	// cleaner runs after each read.
+	cleaner *staleStateCleaner
+	set     *metrics.Set
 }
 
-// run reads the box list until ctx ends.
+// run reads the box list periodically until ctx ends.
 func (r *boxListReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := r.read(ctx); err != nil {
 			r.set.GetOrCreateCounter("ospreymoor_box_list_failures_total").Inc()
 		}
-		r.tidy.forgetGone()
-		interval := boxesInterval
+		r.cleaner.removeStale()
+		interval := boxListInterval
 		if !r.members.selfWatchesStore() {
 			interval = pollInterval
 		}
@@ -50,9 +50,9 @@
 	}
 }
 
-// read reads the box list once.
+// read reads the box list once and puts it into the cache.
 func (r *boxListReader) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, boxesTime)
+	ctx, cancel := context.WithTimeout(ctx, boxListTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(r.url, "/")+"/boxes", nil)
 	if err != nil {
--- a/internal/box/bundles_in_force.go
+++ b/internal/box/bundles_in_force.go
@@ -19,10 +19,10 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// textPeers is how many peers are asked for a bundle's text before the store is.
-const textPeers = 2
+// maxTextPeers is how many peers are asked for a bundle's text before the store is read.
+const maxTextPeers = 2
 
-// bundlesInForce owns the table of bundles in force, as this box serves it. Generations only grow.
+// bundlesInForce owns the table of bundles in force that this box serves. Its generation never decreases.
 type bundlesInForce struct {
 	self    *self
 	log     *zap.Logger
@@ -30,24 +30,25 @@
 	store   kv.Store
 	view    *membership.View
 	fetcher *recordFetcher
-	// current is nil until the store or a peer has answered what is in force.
+	// current is nil until the store or a peer has told which table is in force.
 	current atomic.Pointer[tableInForce]
 }
 
-// tableInForce is one generation of the table with its bundles' texts.
+// tableInForce is one generation of the table, with the texts of its bundles.
 type tableInForce struct {
 	// generation is the revision of the table in the store.
 	generation int64
 	table      bundle.Table
 	bundles    map[string]*bundle.Bundle
-	// callers by the SHA-256 of their token.
+	// callers holds the callers by the SHA-256 of their token.
 	callers map[[sha256.Size]byte]caller
 }
 
-// caller is who sent a request: one of the callers that the bundle names.
+// caller is one of the callers that a bundle names.
 type caller struct{ bundle *bundle.Bundle }
 
-// adopt puts the newest table in force as soon as all of its texts are here.
+// adopt puts the newest table of the cache in force. It fails, and keeps the current table, if the text of one of its
+// bundles cannot be had.
 func (s *bundlesInForce) adopt(ctx context.Context) error {
 	record, ok := s.cache.Get(bundle.TableKey)
 	if !ok {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// build joins a table with the texts of its bundles.
+// build returns the table with the texts of its bundles.
 func (s *bundlesInForce) build(ctx context.Context, generation int64, table bundle.Table) (*tableInForce, error) {
 	next := &tableInForce{
 		generation: generation,
@@ -85,7 +86,7 @@
 		next.bundles[customer] = text
 		for _, c := range text.Callers {
 			var sum [sha256.Size]byte
-			// Parsing a bundle has checked the digest, so an error cannot be.
+			// Parsing a bundle checks the digest, so decoding it cannot fail.
 			if _, err := hex.Decode(sum[:], []byte(strings.ToLower(c.TokenSHA256))); err == nil {
 				next.callers[sum] = caller{bundle: text}
 			}
@@ -94,20 +95,20 @@
 	return next, nil
 }
 
-// adoptNothing puts an empty table in force if the store has none and none is known: the box may then serve.
-func (s *bundlesInForce) adoptNothing() {
+// adoptEmptyTable puts an empty table in force if neither the store nor this box has one, so that the box can serve.
+func (s *bundlesInForce) adoptEmptyTable() {
 	if s.current.Load() == nil && !hasRecord(s.cache, bundle.TableKey) {
 		s.current.CompareAndSwap(nil, &tableInForce{})
 	}
 }
 
-// newest reports whether a table is the newest that this box knows of.
+// newest reports whether the table is the newest that this box knows of.
 func (s *bundlesInForce) newest(table *tableInForce) bool {
 	record, ok := s.cache.Get(bundle.TableKey)
 	return !ok || table.generation >= record.Generation.Term
 }
 
-// text returns a signed-off version: from what is held, from a peer, or from the store.
+// text returns a signed-off bundle version from the table in force, the cache, a peer or the store, in this order.
 func (s *bundlesInForce) text(ctx context.Context, customer string, version uint64) (*bundle.Bundle, error) {
 	if held := s.current.Load(); held != nil {
 		if text := held.bundles[customer]; text != nil && text.Version == version {
@@ -127,14 +128,14 @@
 	return bundle.DecodeText(key, record.Value)
 }
 
-// fetchText asks up to textPeers peers for a text. Those of the same hall come first: they are near, and can be
-// reached while the hall is cut off.
+// fetchText asks up to maxTextPeers peers for a bundle's text. Peers of the same hall come first: they are near, and
+// they can be reached when the hall is cut off from the others.
 func (s *bundlesInForce) fetchText(ctx context.Context, key string) {
 	peers := s.view.Live()
 	slices.SortStableFunc(peers, func(p, q membership.Peer) int {
-		return boolOrder(q.Hall == s.self.hall) - boolOrder(p.Hall == s.self.hall)
+		return boolToInt(q.Hall == s.self.hall) - boolToInt(p.Hall == s.self.hall)
 	})
-	for _, p := range peers[:min(textPeers, len(peers))] {
+	for _, p := range peers[:min(maxTextPeers, len(peers))] {
 		if hasRecord(s.cache, key) {
 			return
 		}
@@ -142,18 +143,18 @@
 	}
 }
 
-func boolOrder(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// authenticate finds the caller by the token; a refusal reveals nothing about other customers.
+// authenticate returns the caller whose token the request carries. A refusal reveals nothing about other customers.
 func (s *bundlesInForce) authenticate(header http.Header) (caller, *refusal) {
 	table := s.current.Load()
 	if table == nil {
-		return caller{}, notRun(connect.CodeUnavailable, reasonStarting, "the box is starting", comeBack)
+		return caller{}, notRun(connect.CodeUnavailable, reasonStarting, "the box is starting", defaultRetryAfter)
 	}
 	token, ok := bearerToken(header)
 	if !ok {
--- a/internal/box/burn_reports.go
+++ b/internal/box/burn_reports.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// burnInterval is how often a box gives its counters to others to keep.
+	// burnInterval is how often a box sends its counters to the boxes that keep them.
 	burnInterval = 15 * time.Second
-	// burnKeepers is how many boxes keep another's counters.
+	// burnKeepers is how many boxes keep the counters of another.
 	burnKeepers = 2
 )
 
-// burnReports owns this box's counters for the burn report, and the copies that it keeps of others'.
+// burnReports owns this box's counters for the burn report, and the copies of other boxes' counters that it keeps.
 type burnReports struct {
 	self     *self
 	view     *membership.View
@@ -28,14 +28,14 @@
 	set      *metrics.Set
 }
 
-// run gives this box's counters to a few others, so that they outlive it, until ctx ends.
+// run sends this box's counters to its keepers periodically until ctx ends, so that the counters outlive the box.
 func (r *burnReports) run(ctx context.Context) {
 	for pause(ctx, jitter(burnInterval)) {
 		r.push(ctx)
 	}
 }
 
-// push gives this box's counters to its keepers now.
+// push sends this box's counters to its keepers, which are the first of the live boxes by rendezvous hashing.
 func (r *burnReports) push(ctx context.Context) {
 	live := r.view.Live()
 	addresses := map[string]string{}
@@ -53,26 +53,26 @@
 	}
 }
 
-// keep keeps another box's counters.
-func (r *burnReports) keep(_ context.Context, request peer.KeepBurnRequest) (peer.Empty, error) {
+// handleKeepBurn stores another box's counters.
+func (r *burnReports) handleKeepBurn(_ context.Context, request peer.KeepBurnRequest) (peer.Empty, error) {
 	r.keeper.Keep(request.Snapshot)
 	return peer.Empty{}, nil
 }
 
-// held returns the counters on this box: its own, and the copies of others'.
-func (r *burnReports) held() []burn.Snapshot {
+// snapshots returns the counters on this box: its own, and the copies of other boxes' counters.
+func (r *burnReports) snapshots() []burn.Snapshot {
 	return append(r.keeper.Snapshots(), r.recorder.Snapshot())
 }
 
-// answer answers another box's question for the counters on this box.
-func (r *burnReports) answer(context.Context, peer.Empty) (peer.BurnResponse, error) {
-	return peer.BurnResponse{Snapshots: r.held()}, nil
+// handleBurn answers another box with the counters on this box.
+func (r *burnReports) handleBurn(context.Context, peer.Empty) (peer.BurnResponse, error) {
+	return peer.BurnResponse{Snapshots: r.snapshots()}, nil
 }
 
-// gather collects the counters of all boxes and the copies that they keep, with the boxes that answered and those
-// that did not.
+// gather collects the counters of all boxes and the copies that they keep. It also returns the boxes that answered
+// and those that did not.
 func (r *burnReports) gather(ctx context.Context) (snapshots []burn.Snapshot, boxes, missing []string) {
-	snapshots = r.held()
+	snapshots = r.snapshots()
 	boxes = []string{r.self.id}
 	for _, entry := range r.view.Entries() {
 		answer, err := callPeer[peer.BurnResponse](ctx, r.peers, entry.Address, peer.MethodBurn, peer.Empty{})
--- a/internal/box/control.go
+++ b/internal/box/control.go
@@ -16,23 +16,23 @@
 // Keys of the leases in the store.
 const (
 	hallLeasePrefix = "leases/hall/"
-	plannerLease    = "leases/planner"
+	plannerLeaseKey = "leases/planner"
 )
 
-// leaseCandidates is how many boxes contend for a lease at a time, so that a lease costs little more than its
-// renewals (docs/design/control.md).
+// leaseCandidates is how many boxes contend for a lease at a time. With few of them, a lease costs little more than
+// its renewals (docs/design/control.md).
 const leaseCandidates = 2
 
-// control is this box's part in the control of the fleet: any box may hold its hall's lease, the planner's, both or
-// none.
+// control is this box's part in the control of the fleet. Any box may hold its hall's lease, the planner's lease,
+// both or neither.
 type control struct {
-	hall       *lease.Lease
-	planner    *lease.Lease
-	controller *orders.Controller
-	plans      *planner
+	hallLease    *lease.Lease
+	plannerLease *lease.Lease
+	controller   *orders.Controller
+	fleetPlanner *planner
 }
 
-// controlParts holds the parts that control works with.
+// controlParts holds the parts of the box that control works with.
 type controlParts struct {
 	config  ControlConfig
 	self    *self
@@ -43,7 +43,7 @@
 	demand  *demand
 	claimed *claimedRuns
 	store   kv.Store
-	// follower reads the store on a takeover.
+	// follower reads the store when this box takes over a lease.
 	follower *storeFollower
 	log      *zap.Logger
 	set      *metrics.Set
@@ -51,20 +51,20 @@
 
 func newControl(parts controlParts) *control {
 	c := &control{
-		hall:    parts.lease(hallLeasePrefix+parts.self.hall, parts.members.inHall),
-		planner: parts.lease(plannerLease, parts.members.inFleet),
+		hallLease:    parts.newLease(hallLeasePrefix+parts.self.hall, parts.members.inHall),
+		plannerLease: parts.newLease(plannerLeaseKey, parts.members.inFleet),
 	}
 	h := &hallController{
 		self:     parts.self,
-		lease:    c.hall,
+		lease:    c.hallLease,
 		fleet:    parts.fleet,
 		engines:  parts.engines,
 		follower: parts.follower,
 	}
 	c.controller = h.controller(parts)
-	c.plans = &planner{
+	c.fleetPlanner = &planner{
 		self:     parts.self,
-		lease:    c.planner,
+		lease:    c.plannerLease,
 		settings: parts.config.Placement,
 		follower: parts.follower,
 		store:    parts.store,
@@ -78,8 +78,9 @@
 	return c
 }
 
-// lease makes a lease for which the first of boxes contend, by rendezvous hashing; a draining box does not.
-func (p controlParts) lease(key string, boxes func() []string) *lease.Lease {
+// newLease returns a lease for which the first leaseCandidates of boxes contend, by rendezvous hashing. A draining
+// box does not contend.
+func (p controlParts) newLease(key string, boxes func() []string) *lease.Lease {
 	return lease.New(lease.Config{
 		Store:  p.store,
 		Key:    key,
@@ -96,5 +97,5 @@
 
 // start runs the leases, the controller and the planner until ctx ends.
 func (c *control) start(ctx context.Context) *sync.WaitGroup {
-	return run(ctx, c.hall.Run, c.planner.Run, c.controller.Run, c.plans.run)
+	return startLoops(ctx, c.hallLease.Run, c.plannerLease.Run, c.controller.Run, c.fleetPlanner.run)
 }
--- a/internal/box/delivery.go
+++ b/internal/box/delivery.go
@@ -6,62 +6,63 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// delivery hands an answer's pieces to the caller, each once and in order. One goroutine uses it.
+// delivery sends the pieces of an answer to the caller, each once and in order. It is used by one goroutine only.
 type delivery struct {
 	send func(id string, index uint32, text string) error
-	// restart discards what was handed on, if the caller has not seen it; nil if it has.
+	// restart discards the pieces sent so far. It is nil if the caller has already seen them.
 	restart func()
-	// id of the run that the pieces come from, and the index of the next one.
-	id   string
-	next uint32
-	// sendErr is set when the caller cannot be reached any more.
+	// id is the run that the pieces come from. nextIndex is the index of the next piece.
+	id        string
+	nextIndex uint32
+	// sendErr is set once the caller cannot be reached any more.
 	sendErr error
 
-	begun time.Time
-	first time.Time
-	last  time.Time
+	startedAt    time.Time
+	firstPieceAt time.Time
+	lastPieceAt  time.Time
 }
 
 func newDelivery(send func(id string, index uint32, text string) error) *delivery {
-	return &delivery{send: send, begun: time.Now()}
+	return &delivery{send: send, startedAt: time.Now()}
 }
 
-// take hands one piece on.
-func (d *delivery) take(index uint32, text string) error {
+// deliver sends one piece to the caller.
+func (d *delivery) deliver(index uint32, text string) error {
 	now := time.Now()
-	if d.first.IsZero() {
-		d.first = now
+	if d.firstPieceAt.IsZero() {
+		d.firstPieceAt = now
 	}
-	d.last = now
+	d.lastPieceAt = now
 	if err := d.send(d.id, index, text); err != nil {
 		d.sendErr = err
 		return err
 	}
-	d.next = index + 1
+	d.nextIndex = index + 1
 	return nil
 }
 
-// begin starts over with another run, and reports whether that is possible: pieces of two runs are never mixed.
-func (d *delivery) begin(id string) bool {
-	if d.next > 0 && d.restart == nil {
+// startRun restarts the answer with another run. It reports false if the caller has seen pieces of an earlier run,
+// since pieces of two runs are never mixed.
+func (d *delivery) startRun(id string) bool {
+	if d.nextIndex > 0 && d.restart == nil {
 		return false
 	}
 	if d.restart != nil {
 		d.restart()
 	}
-	d.id, d.next, d.first = id, 0, time.Time{}
+	d.id, d.nextIndex, d.firstPieceAt = id, 0, time.Time{}
 	return true
 }
 
-// firstToken is the time from the request to its first piece.
-func (d *delivery) firstToken() time.Duration { return d.first.Sub(d.begun) }
+// timeToFirstPiece returns the time from the request to the first piece of its answer.
+func (d *delivery) timeToFirstPiece() time.Duration { return d.firstPieceAt.Sub(d.startedAt) }
 
-// betweenTokens is the mean time between pieces.
-func (d *delivery) betweenTokens() time.Duration {
-	if d.next < 2 {
+// meanPieceInterval returns the mean time between two pieces, or 0 if there are fewer than two.
+func (d *delivery) meanPieceInterval() time.Duration {
+	if d.nextIndex < 2 {
 		return 0
 	}
-	return d.last.Sub(d.first) / time.Duration(d.next-1)
+	return d.lastPieceAt.Sub(d.firstPieceAt) / time.Duration(d.nextIndex-1)
 }
 
 func durationOf(d bundle.Duration) time.Duration { return time.Duration(d) }
--- a/internal/box/demand.go
+++ b/internal/box/demand.go
@@ -9,20 +9,20 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// demandAge is after how long the report of a silent source no longer counts.
-const demandAge = time.Minute
+// demandReportTTL is how long a report counts if its source sends no newer one.
+const demandReportTTL = time.Minute
 
-// demand owns this box's own demand, and what others have reported to it.
+// demand owns this box's own demand and the demand that others have reported to it.
 type demand struct {
 	*placement.Meter
 
 	mu sync.Mutex
-	// boxes are the reports of the hall's boxes, halls those of the halls' controllers.
-	boxes map[string]demandReport
-	halls map[string]demandReport
+	// boxReports holds the reports of the hall's boxes, hallReports those of the halls' controllers.
+	boxReports  map[string]demandReport
+	hallReports map[string]demandReport
 }
 
-// demandReport is one source's demand by model, with the time at which it came.
+// demandReport is the demand of one source by model, with the time at which it was received.
 type demandReport struct {
 	models map[string]float64
 	at     time.Time
@@ -30,48 +30,48 @@
 
 func newDemand() *demand {
 	return &demand{
-		Meter: placement.NewMeter(),
-		boxes: map[string]demandReport{},
-		halls: map[string]demandReport{},
+		Meter:       placement.NewMeter(),
+		boxReports:  map[string]demandReport{},
+		hallReports: map[string]demandReport{},
 	}
 }
 
-// take takes a report in.
-func (d *demand) take(report peer.Demand) {
+// addReport stores a report.
+func (d *demand) addReport(report peer.Demand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	sources := d.boxes
+	sources := d.boxReports
 	if report.Planner {
-		sources = d.halls
+		sources = d.hallReports
 	}
 	sources[report.From] = demandReport{models: report.Models, at: time.Now()}
 }
 
-// answer takes another box's report in.
-func (d *demand) answer(_ context.Context, report peer.Demand) (peer.Empty, error) {
-	d.take(report)
+// handleDemand stores the report of another box.
+func (d *demand) handleDemand(_ context.Context, report peer.Demand) (peer.Empty, error) {
+	d.addReport(report)
 	return peer.Empty{}, nil
 }
 
-// hall is the sum over the hall's boxes.
-func (d *demand) hall() map[string]float64 {
+// hallDemand returns the demand of the hall by model: the sum over its boxes.
+func (d *demand) hallDemand() map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return sumDemand(d.boxes)
+	return sumDemand(d.boxReports)
 }
 
-// total is the sum over all halls.
-func (d *demand) total() map[string]float64 {
+// fleetDemand returns the demand of the fleet by model: the sum over all halls.
+func (d *demand) fleetDemand() map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return sumDemand(d.halls)
+	return sumDemand(d.hallReports)
 }
 
-// sumDemand adds up the reports and drops those older than demandAge.
+// sumDemand adds up the reports and drops those older than demandReportTTL.
 func sumDemand(sources map[string]demandReport) map[string]float64 {
 	sum := map[string]float64{}
 	for from, report := range sources {
-		if time.Since(report.at) > demandAge {
+		if time.Since(report.at) > demandReportTTL {
 			delete(sources, from)
 			continue
 		}
--- a/internal/box/demand_reporter.go
+++ b/internal/box/demand_reporter.go
@@ -15,11 +15,13 @@
 const (
 	// demandInterval is how often demand is reported in a small hall.
 	demandInterval = 5 * time.Second
-	// demandBoxes is the size of a hall up to which demand is reported that often.
-	demandBoxes = 16
+	// demandIntervalBoxes is the number of boxes per demandInterval: a hall with n times as many reports n times less
+	// often.
+	demandIntervalBoxes = 16
 )
 
-// demandReporter samples this box's demand and reports it: to the hall's controller, and from there to the planner.
+// demandReporter samples this box's demand and reports it to the hall's controller. The box that is the controller
+// also reports the hall's demand to the planner.
 type demandReporter struct {
 	self    *self
 	members *members
@@ -32,13 +34,13 @@
 	set       *metrics.Set
 }
 
-// run samples and reports demand until ctx ends.
+// run samples and reports demand periodically until ctx ends.
 func (r *demandReporter) run(ctx context.Context) {
 	last := time.Now()
 	for pause(ctx, placement.MeterInterval) {
 		r.demand.Sample()
-		every := demandInterval * time.Duration(max(1, len(r.members.inHall())/demandBoxes))
-		if time.Since(last) < every {
+		interval := demandInterval * time.Duration(max(1, len(r.members.inHall())/demandIntervalBoxes))
+		if time.Since(last) < interval {
 			continue
 		}
 		last = time.Now()
@@ -46,7 +48,8 @@
 	}
 }
 
-// report sends this box's demand to its hall's controller and, from there, the hall's sum to the planner.
+// report sends this box's demand to the hall's controller and, if this box is the controller, the hall's sum to the
+// planner.
 func (r *demandReporter) report(ctx context.Context) {
 	own := peer.Demand{From: r.self.id, Models: r.demand.Demand()}
 	holdings := readRecord[orders.Holdings](r.reader, holdingsPrefix+r.self.hall)
@@ -54,17 +57,18 @@
 	if _, err := r.hallLease.Term(); err != nil {
 		return // Another box holds the hall's lease.
 	}
-	sum := peer.Demand{From: r.self.hall, Models: r.demand.hall(), Planner: true}
+	sum := peer.Demand{From: r.self.hall, Models: r.demand.hallDemand(), Planner: true}
 	r.send(ctx, r.fleet.snapshot.Load().plan.Planner, sum)
 }
 
-// send passes a report to the box at a peer address, which may be this one; none if the address is not known yet.
+// send sends a report to the box at a peer address, which may be this box. It does nothing if the address is not
+// known yet.
 func (r *demandReporter) send(ctx context.Context, address string, report peer.Demand) {
 	switch address {
 	case "":
 		return
 	case r.self.address:
-		r.demand.take(report)
+		r.demand.addReport(report)
 		return
 	}
 	if _, err := callPeer[peer.Empty](ctx, r.peers, address, peer.MethodDemand, report); err != nil {
--- a/internal/box/drain.go
+++ b/internal/box/drain.go
@@ -8,12 +8,12 @@
 	"go.uber.org/zap"
 )
 
-// drain stops the box without cutting off a request, in this order: it turns unready and sends so to its peers, hands
-// its leases over, goes on taking requests until the balancer has noticed, waits for the last one, and gives its
-// counters to their keepers. The notice counts from the beginning, so handing over takes nothing from it.
+// drain stops the box without cutting off a request, in this order: it becomes unready and tells its peers, hands
+// over its leases, goes on taking requests until the balancer has noticed, waits for the last request, and sends
+// its counters to their keepers. The drain notice counts from the beginning, so handing over does not shorten it.
 func (b *Box) drain(server *http.Server, handOver func()) {
 	b.self.draining.Store(true)
-	wake(b.heartbeats.soon)
+	wake(b.heartbeats.sendSoon)
 	b.log.Info("draining", zap.Int("in flight", b.admission.InFlight()))
 	begun := time.Now()
 	handOver()
--- a/internal/box/engine_clients.go
+++ b/internal/box/engine_clients.go
@@ -8,7 +8,7 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// engineClients owns one client for each engine's address.
+// engineClients holds one client for each engine.
 type engineClients struct {
 	http *http.Client
 
@@ -16,7 +16,7 @@
 	clients map[string]engineClient
 }
 
-// engineClient is an engine's client with the line of the box list that it was made for.
+// engineClient is the client of an engine, with the entry of the box list that it was made for.
 type engineClient struct {
 	box    membership.Box
 	client *engine.Client
@@ -26,7 +26,7 @@
 	return &engineClients{http: client, clients: map[string]engineClient{}}
 }
 
-// get returns the client of an engine, made anew if the engine's address or fence changed.
+// get returns the client of an engine. It makes a new one if the engine's address or fencing has changed.
 func (e *engineClients) get(id string, box membership.Box) *engine.Client {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,7 +38,7 @@
 	return known.client
 }
 
-// forget drops the clients of engines that are not listed any more.
+// forget drops the clients of engines that are no longer listed.
 func (e *engineClients) forget(listed map[string]engineState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/box/engine_runs.go
+++ b/internal/box/engine_runs.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxResumes bounds the resumptions of one run.
+	// maxResumes bounds how often one run is resumed.
 	maxResumes = 5
-	// resumePause is the longest pause before a resumption.
-	resumePause = 200 * time.Millisecond
-	// cancelTime bounds the cancelling of a run that no caller waits for.
-	cancelTime = 2 * time.Second
+	// maxResumeDelay is the longest pause before a run is resumed. The actual pause is random.
+	maxResumeDelay = 200 * time.Millisecond
+	// cancelTimeout bounds the call that cancels a run.
+	cancelTimeout = 2 * time.Second
 )
 
-// engineRuns sends requests to engines, resumes broken answers and notes what engines answer of themselves.
+// engineRuns sends requests to engines, resumes answers that broke off, and records failures of engines.
 type engineRuns struct {
 	fleet   *fleetState
 	view    *membership.View
@@ -34,8 +34,8 @@
 	heartbeatSoon chan struct{}
 }
 
-// run sends a request to an engine under d.id, and resumes it there as long as that helps. The errors are the kinds
-// of internal/engine.
+// run sends a request to an engine as run d.id, and resumes the run there when its stream breaks off. It returns the
+// errors of internal/engine.
 func (e *engineRuns) run(ctx context.Context, r *modelRequest, id string, d *delivery) error {
 	ended := e.router.Sent(r.item, r.message.GetPrompt(), id)
 	defer ended()
@@ -48,7 +48,7 @@
 		Prompt:    r.message.GetPrompt(),
 		MaxTokens: r.maxTokens(),
 		Priority:  r.model.Priority,
-	}, d.take)
+	}, d.deliver)
 	err = e.resume(ctx, client, d, err)
 	if err == nil {
 		e.router.RecordSlotTime(r.item, time.Since(begun))
@@ -56,18 +56,18 @@
 	return err
 }
 
-// resume goes on with a run whose stream broke off, at the first piece that is missing. Once pieces have
-// come, the run has begun: 'not started' then concerns only the resumption, which is repeated too.
+// resume resumes a run whose stream broke off, from the first piece that is missing. Once pieces have come, the run
+// has begun; a 'not started' then concerns only the resumption, which is tried again too.
 func (e *engineRuns) resume(ctx context.Context, client *engine.Client, d *delivery, err error) error {
 	for range maxResumes {
 		broken := errors.Is(err, engine.ErrBrokenOff) || errors.Is(err, engine.ErrForeign) ||
-			(d.next > 0 && notStarted(err))
+			(d.nextIndex > 0 && notStarted(err))
 		if err == nil || !broken || ctx.Err() != nil || d.sendErr != nil {
 			return err
 		}
 		e.set.GetOrCreateCounter("ospreymoor_resumptions_total").Inc()
-		pause(ctx, rand.N(resumePause))
-		err = client.Resume(ctx, d.id, d.next, d.take)
+		pause(ctx, rand.N(maxResumeDelay))
+		err = client.Resume(ctx, d.id, d.nextIndex, d.deliver)
 	}
 	return err
 }
@@ -77,9 +77,10 @@
 	return e.engines.get(id, e.fleet.snapshot.Load().engines[id].box)
 }
 
-// noteFailure keeps the request from an engine that failed it. An engine that is leaving gets nothing from any box;
-// one that answers but does not hold the model is fit for others; any other failure has the router avoid the engine.
-func (e *engineRuns) noteFailure(r *modelRequest, id string, err error) {
+// recordFailure excludes an engine that failed a request from its further attempts. If the engine is leaving, no box
+// sends it anything any more. If it answered but does not hold the model, it stays available to other requests. After
+// any other failure the router avoids it for avoidDuration.
+func (e *engineRuns) recordFailure(r *modelRequest, id string, err error) {
 	if r.refusedBy == nil {
 		r.refusedBy = map[string]bool{}
 	}
@@ -91,25 +92,25 @@
 		}
 	case errors.Is(err, engine.ErrNotStarted) && !engine.IsDialError(err):
 	default:
-		e.router.Failed(id, avoidTime)
+		e.router.Failed(id, avoidDuration)
 	}
 }
 
-// cancelLater frees an engine of a run that no caller waits for. A failure needs no line: the run then ends by
-// itself.
-func (e *engineRuns) cancelLater(id, request string) {
+// cancelInBackground cancels a run that no caller waits for. A failure is not logged: the run then ends by itself.
+func (e *engineRuns) cancelInBackground(id, request string) {
 	client := e.client(id)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		_, _ = client.Cancel(ctx, request)
 	}()
 }
 
-// neverBegan makes the engine refuse a claimed run's id from now on, and reports whether the engine confirms that the
-// run never began there: only the incarnation that the run was claimed for can.
-func (e *engineRuns) neverBegan(claim claims.Claim) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
+// confirmNeverStarted cancels a claimed run at its engine, which refuses the run's id from then on, and reports
+// whether the engine confirms that the run never began there. Only the incarnation that the run was claimed for can
+// confirm it.
+func (e *engineRuns) confirmNeverStarted(claim claims.Claim) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if _, listed := e.fleet.snapshot.Load().engines[claim.Upstream]; !listed {
 		return false
@@ -118,7 +119,7 @@
 	return err == nil && !answer.Started && answer.Incarnation == claim.Incarnation
 }
 
-// notStarted reports whether an engine confirmed that it did not start the request, or got nothing.
+// notStarted reports whether the error means that an engine did not start the request or never received it.
 func notStarted(err error) bool {
 	return errors.Is(err, engine.ErrNotStarted) || errors.Is(err, engine.ErrLeaving)
 }
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -14,10 +14,10 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// fleetState owns what this box knows of upstreams and the plan, from the records of the cache.
+// fleetState owns what this box knows of upstreams and the plan. It is derived from the records of the cache.
 type fleetState struct {
 	self *self
-	// hallDistance is the extra time to reach another hall's upstreams.
+	// hallDistance is the extra latency to the upstreams of another hall.
 	hallDistance time.Duration
 	reader       *recordReader
 	cache        *records.Cache
@@ -26,40 +26,40 @@
 	loads        *loadTable
 	sent         *sentTable
 
-	// snapshot is made anew with each change, never changed.
+	// snapshot is replaced at each change and never modified.
 	snapshot atomic.Pointer[fleetSnapshot]
 
-	// mu guards what records decode to, which is kept so that a change of one does not decode all.
+	// mu guards the decoded records below. They are kept so that a change of one record does not decode all of them.
 	mu       sync.Mutex
-	plan     decoded[kv.Document[placement.Plan]]
-	holdings map[string]decoded[orders.Holdings]
+	plan     decodedRecord[kv.Document[placement.Plan]]
+	holdings map[string]decodedRecord[orders.Holdings]
 }
 
 // fleetSnapshot is the fleet as this box knows it at one moment.
 type fleetSnapshot struct {
 	plan    placement.Plan
 	planned bool
-	// informed is whether the box list, the plan and the hall's holdings were known.
-	informed bool
+	// complete is whether the box list, the plan and the hall's holdings were known when the snapshot was made.
+	complete bool
 	engines  map[string]engineState
 	services map[string][]membership.Box
-	// holders are the engines that confirmed an item.
+	// holders lists, by item, the engines that have confirmed to hold it.
 	holders map[string][]string
-	// slots is how many requests the engines of a pool run at once.
+	// slots is how many requests the engines of a pool can run at once.
 	slots map[string]int
 }
 
-// engineState is one engine of the box list with what its hall's controller reports.
+// engineState is an engine of the box list, with what its hall's controller reports of it.
 type engineState struct {
 	box     membership.Box
 	holding orders.Holding
-	// reported is whether there is a report.
+	// reported is whether its hall's controller has reported it.
 	reported bool
 	// since is when this box first saw each resident item reported.
 	since map[string]time.Time
 }
 
-// fleetConfig holds the parts that a fleetState reads from.
+// fleetConfig holds the parts that a fleetState uses.
 type fleetConfig struct {
 	self         *self
 	hallDistance time.Duration
@@ -78,13 +78,13 @@
 		router:       config.router,
 		loads:        newLoadTable(),
 		sent:         newSentTable(),
-		holdings:     map[string]decoded[orders.Holdings]{},
+		holdings:     map[string]decodedRecord[orders.Holdings]{},
 	}
 	s.snapshot.Store(&fleetSnapshot{})
 	return s
 }
 
-// rebuild makes the snapshot anew from the records held.
+// rebuild replaces the snapshot by one made from the records in the cache.
 func (s *fleetState) rebuild() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 			s.holdings[box.Hall] = s.holdings[box.Hall].refresh(s.reader, holdingsPrefix+box.Hall)
 		}
 		holding, reported := s.holdings[box.Hall].value.Engines[box.ID]
-		s.noteReport(box.ID, holding)
+		s.updateLeaving(box.ID, holding)
 		next.add(engineState{
 			box:      box,
 			holding:  holding,
@@ -114,11 +114,11 @@
 			since:    s.residentSince(box.ID, holding),
 		})
 	}
-	next.informed = next.planned && len(next.engines) > 0 && hasRecord(s.cache, holdingsPrefix+s.self.hall)
+	next.complete = next.planned && len(next.engines) > 0 && hasRecord(s.cache, holdingsPrefix+s.self.hall)
 	s.snapshot.Store(next)
 }
 
-// add puts an engine in; the snapshot is not in use yet.
+// add adds an engine to a snapshot that is not in use yet.
 func (f *fleetSnapshot) add(state engineState) {
 	f.engines[state.box.ID] = state
 	f.slots[state.box.Pool] += state.holding.Slots
@@ -127,8 +127,8 @@
 	}
 }
 
-// lists reports whether the box list names an upstream.
-func (f *fleetSnapshot) lists(upstream string) bool {
+// hasUpstream reports whether the box list names an upstream.
+func (f *fleetSnapshot) hasUpstream(upstream string) bool {
 	if _, ok := f.engines[upstream]; ok {
 		return true
 	}
@@ -142,7 +142,7 @@
 	return false
 }
 
-// residentSince returns when each of an engine's items was first seen on its present incarnation.
+// residentSince returns when each of an engine's items was first seen on its current incarnation.
 func (s *fleetState) residentSince(id string, holding orders.Holding) map[string]time.Time {
 	old := s.snapshot.Load().engines[id]
 	since := make(map[string]time.Time, len(holding.Resident))
@@ -155,9 +155,9 @@
 	return since
 }
 
-// noteReport marks an engine that reports that it is leaving. After a restart of the engine it drops what the engine
-// cached, and that it was leaving.
-func (s *fleetState) noteReport(id string, holding orders.Holding) {
+// updateLeaving marks an engine as leaving if its report says so. If the engine has restarted, it first drops what
+// the router knows of the engine's cache, and that the earlier incarnation was leaving.
+func (s *fleetState) updateLeaving(id string, holding orders.Holding) {
 	old, ok := s.snapshot.Load().engines[id]
 	if ok && old.reported && holding.Incarnation != "" && old.holding.Incarnation != holding.Incarnation {
 		s.router.DropPrefixes(id)
@@ -168,14 +168,14 @@
 	}
 }
 
-// leaving reports whether any source has an upstream as leaving: the box list, its hall's controller, or the
-// upstream itself.
+// leaving reports whether an upstream is leaving according to the box list, its hall's controller or the upstream
+// itself.
 func (s *fleetState) leaving(state engineState) bool {
 	return state.box.Leaving || state.holding.Leaving || s.view.IsLeaving(state.box.ID)
 }
 
-// candidates lists the engines that can take a request: they confirmed the model and its adapter, and no source has
-// them as leaving.
+// candidates lists the engines that can take a request: those that have confirmed the model and its adapter and
+// that no source reports as leaving.
 func (s *fleetState) candidates(item, adapter string) []routing.Candidate {
 	f := s.snapshot.Load()
 	boxes := s.view.LiveCount() + 1
@@ -194,7 +194,7 @@
 	return list
 }
 
-// distance is the extra time to reach an upstream.
+// distance returns the extra latency to an upstream.
 func (s *fleetState) distance(box membership.Box) time.Duration {
 	if box.Hall != s.self.hall {
 		return s.hallDistance
@@ -202,8 +202,8 @@
 	return 0
 }
 
-// serviceCandidates lists the upstreams of a pool of plain services that no source has as leaving, with their boxes
-// by id. Plain services report no load.
+// serviceCandidates lists the upstreams of a pool of plain services that no source reports as leaving, with their box
+// list entries by id. Plain services report no load.
 func (s *fleetState) serviceCandidates(pool string) ([]routing.Candidate, map[string]membership.Box) {
 	byID := map[string]membership.Box{}
 	var list []routing.Candidate
@@ -222,10 +222,10 @@
 	return list, byID
 }
 
-// takeLoads takes the record of a hall's loads in: each engine's report covers what was sent to it so far.
-func (s *fleetState) takeLoads(name string, loads orders.Loads) {
-	s.loads.take(name, loads)
+// applyLoads stores the load reports of a hall. Each engine's report covers the requests sent to it so far.
+func (s *fleetState) applyLoads(name string, loads orders.Loads) {
+	s.loads.update(name, loads)
 	for id := range loads.Engines {
-		s.sent.reported(id)
+		s.sent.markReported(id)
 	}
 }
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -95,7 +95,7 @@
 		boxes:    map[string]*testBox{},
 	}
 	t.platform.Weights.BytesPerSecond, t.platform.Fault = spec.weightSpeed, spec.fault
-	t.client = &http.Client{Transport: plainTransport(t.net.dialer("client"))}
+	t.client = &http.Client{Transport: httpTransport(t.net.dialer("client"))}
 	t.platformCalls = newCallCounter(t.platform.Handler())
 	t.serve("platform:1", t.platformCalls)
 	for h := 1; h <= spec.halls; h++ {
--- a/internal/box/hall_controller.go
+++ b/internal/box/hall_controller.go
@@ -11,12 +11,12 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// settleTime is how long a new copy must be known before another is dropped for it: boxes that do not know of it yet
-// would find none.
-const settleTime = 5 * time.Second
+// replicaSettleDelay is how long a new replica must be known before another is dropped for it. Boxes that do not
+// know of the new replica yet would find none.
+const replicaSettleDelay = 5 * time.Second
 
-// hallController connects the controller of a hall's engines (pkg/orders) to this box: what is known of the hall, and
-// where its reports go.
+// hallController connects this box to the controller of its hall's engines (pkg/orders): it supplies what is known of
+// the hall and publishes the controller's reports.
 type hallController struct {
 	self     *self
 	lease    *lease.Lease
@@ -44,8 +44,9 @@
 	}
 }
 
-// repairTerm is the term under which the hall's last controller goes on ordering fenced engines while the key-value
-// service is away, or 0: a higher term ends it at each engine.
+// repairTerm returns the term under which the hall's last controller goes on ordering fenced engines while the
+// key-value service is unreachable, or 0 if this box may not. Each engine stops taking these orders once it has
+// seen a higher term.
 func (h *hallController) repairTerm() int64 {
 	if h.self.storeReachable.Load() || h.self.draining.Load() {
 		return 0
@@ -53,7 +54,7 @@
 	return h.lease.LatestTerm()
 }
 
-// takeOver reads the latest plan from the store, before the first order of a term.
+// takeOver reads the latest plan from the store before the first order of a term.
 func (h *hallController) takeOver(ctx context.Context) error {
 	_, err := h.follower.read(ctx)
 	if err == nil {
@@ -62,7 +63,7 @@
 	return err
 }
 
-// plan is the plan that this box knows, and whether there is one.
+// plan returns the plan that this box knows and whether there is one.
 func (h *hallController) plan() (placement.Plan, bool) {
 	f := h.fleet.snapshot.Load()
 	return f.plan, f.planned
@@ -79,8 +80,8 @@
 	return list
 }
 
-// mayUnload reports whether an item stays reachable without an engine's copy: no unit of the plan has it, or another
-// engine that reports its load keeps it.
+// mayUnload reports whether an item stays reachable without its replica on the engine id. It does if no unit of the
+// plan contains the item, or if another engine that reports its load holds a settled replica.
 func (h *hallController) mayUnload(plan placement.Plan, id, item string) bool {
 	f := h.fleet.snapshot.Load()
 	needed := false
@@ -90,7 +91,7 @@
 		}
 		needed = true
 		for _, place := range copies.Places {
-			if place.Engine != id && h.fleet.loads.reporting(place.Engine) && f.keeps(place, copies.Unit) {
+			if place.Engine != id && h.fleet.loads.hasRecentReport(place.Engine) && f.hasSettledReplica(place, copies.Unit) {
 				return true
 			}
 		}
@@ -98,15 +99,15 @@
 	return !needed
 }
 
-// keeps reports whether an engine has confirmed the whole of a unit for settleTime, under a controller that knows that
-// it shall stay.
-func (f *fleetSnapshot) keeps(place placement.Place, unit placement.Unit) bool {
+// hasSettledReplica reports whether an engine has held the whole unit for replicaSettleDelay, under a controller
+// whose plan already keeps the unit there.
+func (f *fleetSnapshot) hasSettledReplica(place placement.Place, unit placement.Unit) bool {
 	state := f.engines[place.Engine]
 	if state.holding.Plan < place.Since {
 		return false
 	}
 	for _, item := range append([]placement.Item{unit.Item}, unit.Adapters...) {
-		if at, ok := state.since[item.Name]; !ok || time.Since(at) < settleTime {
+		if at, ok := state.since[item.Name]; !ok || time.Since(at) < replicaSettleDelay {
 			return false
 		}
 	}
@@ -122,21 +123,21 @@
 	return false
 }
 
-// publishHoldings shares the hall's holdings with all boxes.
+// publishHoldings shares the holdings of the hall's engines with all boxes.
 func (h *hallController) publishHoldings(term, sequence int64, holdings orders.Holdings) {
 	h.publish(holdingsPrefix+holdings.Hall, term, sequence, holdings)
 }
 
-// publishLoads shares the hall's loads with all boxes.
+// publishLoads shares the loads of the hall's engines with all boxes.
 func (h *hallController) publishLoads(term, sequence int64, loads orders.Loads) {
 	h.publish(loadsPrefix+h.self.hall, term, sequence, loads)
 }
 
-// publish puts a record into the cache, from where heartbeats spread it.
+// publish puts a record into the cache, from which heartbeats spread it.
 func (h *hallController) publish(name string, term, sequence int64, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return // Plain data of the program's own always encode.
+		return // Cannot happen: these types always encode.
 	}
 	generation := records.Generation{Term: term, Sequence: sequence}
 	h.fleet.cache.Put(records.Record{Name: name, Generation: generation, Value: encoded})
--- a/internal/box/heartbeat_message.go
+++ b/internal/box/heartbeat_message.go
@@ -6,12 +6,12 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// fullEvery is how many heartbeats there are to one with all generations. The others have only what changed: 3991
-// instead of 5672 B/s a box with 16 boxes.
-const fullEvery = 8
+// fullHeartbeatEvery is how many heartbeats there are for each full one, which carries the generations of all
+// records. The others carry only what has changed. This takes 3991 instead of 5672 B/s per box with 16 boxes.
+const fullHeartbeatEvery = 8
 
-// lastHeartbeat is what earlier heartbeats carried, so that the next carries only what changed. The loop of
-// heartbeats owns it.
+// lastHeartbeat is what earlier heartbeats carried, so that the next one can carry only what has changed. Only the
+// heartbeat loop uses it.
 type lastHeartbeat struct {
 	sent        map[string]int64
 	generations map[string]records.Generation
@@ -22,15 +22,15 @@
 	return &lastHeartbeat{sent: map[string]int64{}, generations: map[string]records.Generation{}}
 }
 
-// next describes this box, with what changed since the last heartbeat. Each fullEvery'th has all generations, for
-// boxes that missed one.
-func (h *heartbeats) next(last *lastHeartbeat) peer.Heartbeat {
+// nextMessage returns a heartbeat that describes this box and what has changed since the last one. One heartbeat in
+// fullHeartbeatEvery carries all generations, for boxes that missed an earlier one.
+func (h *heartbeats) nextMessage(last *lastHeartbeat) peer.Heartbeat {
 	message := peer.Heartbeat{
 		Peer:        h.self.peer(),
 		Generations: map[string]records.Generation{},
 		Sent:        map[string]int64{},
 		Leaving:     h.members.view.AnnouncedLeaving(),
-		Full:        last.count%fullEvery == 0,
+		Full:        last.count%fullHeartbeatEvery == 0,
 	}
 	last.count++
 	for id, total := range h.router.Totals() {
@@ -46,7 +46,7 @@
 	return message
 }
 
-// isStarting reports whether a heartbeat comes from a box that does not know what is in force yet.
+// isStarting reports whether a heartbeat comes from a box that does not know the bundles in force yet.
 func isStarting(message peer.Heartbeat) bool {
 	_, ok := message.Generations[bundle.TableKey]
 	return !ok
--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// heartbeatsPerSecond bounds the heartbeats that a box sends, so that a large hall sends them less often.
-	// What it costs is in docs/CAPACITY.md.
+	// heartbeatsPerSecond bounds the heartbeats that a box sends per second, so that boxes of a large hall send
+	// them at a longer interval. What heartbeats cost is in docs/CAPACITY.md.
 	heartbeatsPerSecond = 24
-	// heartbeatsToSilence is how many heartbeats are missed before a peer counts as gone.
-	heartbeatsToSilence = 5
-	// soonShare is the share of the interval after which an early heartbeat goes out.
-	soonShare = 4
-	// farLoadsAge is how old another hall's loads get before they are fetched anew.
-	farLoadsAge = 5 * time.Second
+	// maxMissedHeartbeats is how many heartbeats a peer can miss before it counts as gone.
+	maxMissedHeartbeats = 5
+	// earlyHeartbeatDivisor sets when an early heartbeat goes out: after the interval divided by this number.
+	earlyHeartbeatDivisor = 4
+	// remoteLoadsMaxAge is how old the loads of another hall get before they are fetched again.
+	remoteLoadsMaxAge = 5 * time.Second
 )
 
-// heartbeats sends this box's heartbeats and takes in those of others: which boxes live, which records they hold,
-// what they sent to engines, and which upstreams are leaving.
+// heartbeats sends this box's heartbeats and processes those of others. Heartbeats tell which boxes are live, which
+// records they hold, what they sent to engines, and which upstreams are leaving.
 type heartbeats struct {
 	self    *self
 	members *members
-	// interval is the least time between two heartbeats.
+	// interval is the shortest time between two heartbeats.
 	interval time.Duration
-	// known are addresses to call while no box list is known.
-	known   []string
-	router  *routing.Router
-	cache   *records.Cache
-	fleet   *fleetState
-	fetcher *recordFetcher
-	peers   *peer.Client
-	set     *metrics.Set
-	// soon is signalled when something is to go out before the interval ends.
-	soon chan struct{}
+	// knownPeers lists the addresses to call while no box list is known.
+	knownPeers []string
+	router     *routing.Router
+	cache      *records.Cache
+	fleet      *fleetState
+	fetcher    *recordFetcher
+	peers      *peer.Client
+	set        *metrics.Set
+	// sendSoon is signalled when a heartbeat should go out before the interval ends.
+	sendSoon chan struct{}
 	// fetching holds the names of records that are being fetched.
 	fetching sync.Map
 }
 
-// heartbeatTiming is the rule for the time between heartbeats: the interval set, longer if so many targets would make
-// more than heartbeatsPerSecond; a peer counts as gone after heartbeatsToSilence of them.
-func heartbeatTiming(set time.Duration, targets int) (interval, silence time.Duration) {
-	interval = max(set, time.Duration(targets)*time.Second/heartbeatsPerSecond)
-	return interval, heartbeatsToSilence * interval
+// heartbeatTiming returns the time between heartbeats, and the time after which a silent peer counts as gone. The
+// interval is the configured one, or longer if that many targets would take more than heartbeatsPerSecond. A peer
+// counts as gone after maxMissedHeartbeats intervals.
+func heartbeatTiming(configured time.Duration, targets int) (interval, peerTimeout time.Duration) {
+	interval = max(configured, time.Duration(targets)*time.Second/heartbeatsPerSecond)
+	return interval, maxMissedHeartbeats * interval
 }
 
 // run sends heartbeats until ctx ends.
@@ -59,16 +60,16 @@
 	sent := newLastHeartbeat()
 	for {
 		targets := h.targets()
-		message := h.next(sent)
+		message := h.nextMessage(sent)
 		for _, address := range targets {
 			go h.send(ctx, address, message)
 		}
-		interval, silence := heartbeatTiming(h.interval, len(targets))
-		h.members.view.SetLapse(silence)
+		interval, peerTimeout := heartbeatTiming(h.interval, len(targets))
+		h.members.view.SetLapse(peerTimeout)
 		select {
-		case <-h.soon:
-			// At once, but no more often than soonShare times an interval.
-			pause(ctx, jitter(interval/soonShare))
+		case <-h.sendSoon:
+			// Send early, but at most earlyHeartbeatDivisor times per interval.
+			pause(ctx, jitter(interval/earlyHeartbeatDivisor))
 		case <-time.After(jitter(interval)):
 		case <-ctx.Done():
 			return
@@ -76,7 +77,7 @@
 	}
 }
 
-// send sends one heartbeat. Its answer is the other box's own, so that both learn of each other even if only one has
+// send sends one heartbeat. The other box answers with its own, so that both learn of each other even if only one has
 // the other's address.
 func (h *heartbeats) send(ctx context.Context, address string, message peer.Heartbeat) {
 	answer, err := callPeer[peer.Heartbeat](ctx, h.peers, address, peer.MethodHeartbeat, message)
@@ -85,14 +86,14 @@
 		return
 	}
 	if answer.Peer.ID != "" {
-		h.take(answer)
+		h.apply(answer)
 	}
 }
 
-// take takes a heartbeat in, and fetches the records of which its sender has a newer generation.
-func (h *heartbeats) take(message peer.Heartbeat) {
+// apply processes a heartbeat and fetches the records of which its sender has a newer generation.
+func (h *heartbeats) apply(message peer.Heartbeat) {
 	h.members.view.Heartbeat(message.Peer)
-	h.fleet.sent.take(message.Peer.Incarnation, message.Sent)
+	h.fleet.sent.update(message.Peer.Incarnation, message.Sent)
 	for _, id := range message.Leaving {
 		h.members.view.MarkLeaving(id)
 	}
@@ -120,20 +121,21 @@
 	h.fetcher.fetch(context.Background(), address, names)
 }
 
-// mayFetch reports whether a newer record should be fetched now: loads of other halls, which change all the time,
-// only when farLoadsAge old.
+// mayFetch reports whether a newer record should be fetched now. The loads of other halls change all the time, so
+// they are fetched only when the ones here are older than remoteLoadsMaxAge.
 func (h *heartbeats) mayFetch(name string) bool {
 	hall, isLoads := strings.CutPrefix(name, loadsPrefix)
 	if !isLoads || hall == h.self.hall {
 		return true
 	}
-	return h.fleet.loads.age(name) > farLoadsAge
+	return h.fleet.loads.age(name) > remoteLoadsMaxAge
 }
 
-// answer takes a heartbeat in and replies with this box's own; a box of the same hall gets an empty reply, since this
-// box sends it heartbeats anyway. The reply has all generations only for a full heartbeat or a box that is starting.
-func (h *heartbeats) answer(_ context.Context, message peer.Heartbeat) (peer.Heartbeat, error) {
-	h.take(message)
+// handleHeartbeat processes a heartbeat and replies with this box's own. A box of the same hall gets an empty
+// reply, since this box sends it heartbeats anyway. Only a full heartbeat or a starting box gets all generations in
+// the reply.
+func (h *heartbeats) handleHeartbeat(_ context.Context, message peer.Heartbeat) (peer.Heartbeat, error) {
+	h.apply(message)
 	starting := isStarting(message)
 	if message.Peer.Hall == h.self.hall && !starting {
 		return peer.Heartbeat{}, nil
@@ -145,33 +147,33 @@
 	return reply, nil
 }
 
-// bridges is how many boxes of a hall send heartbeats to another hall, and to how many there.
-const bridges = 2
+// bridgesPerHall is how many boxes of a hall send heartbeats to another hall, and to how many boxes there.
+const bridgesPerHall = 2
 
-// targets lists the peer addresses that get a heartbeat: all boxes of the hall and, from the hall's bridges, a few
-// of each other hall.
+// targets lists the peer addresses that get a heartbeat: all boxes of the hall and, if this box is one of its hall's
+// bridges to another hall, a few boxes there.
 func (h *heartbeats) targets() []string {
 	entries := h.members.view.Entries()
 	if len(entries) == 0 {
-		return h.known
+		return h.knownPeers
 	}
 	var targets []string
-	far := map[string][]string{}
+	remoteIDs := map[string][]string{}
 	addresses := map[string]string{}
 	for _, box := range entries {
 		if box.Hall == h.self.hall {
 			targets = append(targets, box.Address)
 			continue
 		}
-		far[box.Hall] = append(far[box.Hall], box.ID)
+		remoteIDs[box.Hall] = append(remoteIDs[box.Hall], box.ID)
 		addresses[box.ID] = box.Address
 	}
-	for hall, ids := range far {
-		if !membership.Among("bridge/"+hall, h.members.inHall(), h.self.id, bridges) {
+	for hall, ids := range remoteIDs {
+		if !membership.Among("bridge/"+hall, h.members.inHall(), h.self.id, bridgesPerHall) {
 			continue // Other boxes of this hall exchange heartbeats with that one, and pass on what they learn.
 		}
 		ranked := membership.Rank(h.self.id, ids)
-		for _, id := range ranked[:min(bridges, len(ranked))] {
+		for _, id := range ranked[:min(bridgesPerHall, len(ranked))] {
 			targets = append(targets, addresses[id])
 		}
 	}
--- a/internal/box/knowledge.go
+++ b/internal/box/knowledge.go
@@ -9,8 +9,8 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// knowledge is what a box knows of the fleet, with the parts that keep it up to date. All of it is soft state: the
-// store, the box list and the peers hold it too.
+// knowledge holds what a box knows of the fleet, and the parts that keep it up to date. All of it is soft state: the
+// store, the box list and the peers have it too.
 type knowledge struct {
 	cache   *records.Cache
 	reader  *recordReader
@@ -24,11 +24,11 @@
 	follower *storeFollower
 	boxList  *boxListReader
 	applier  *recordApplier
-	// heartbeats spread and take in records.
+	// heartbeats exchanges records with other boxes.
 	heartbeats *heartbeats
 }
 
-func newKnowledge(config Config, self *self, l *links, log *zap.Logger, set *metrics.Set) *knowledge {
+func newKnowledge(config Config, self *self, l *connections, log *zap.Logger, set *metrics.Set) *knowledge {
 	k := &knowledge{cache: records.NewCache(), view: membership.NewView(config.ID), router: routing.New(routing.Config{})}
 	k.reader = newRecordReader(k.cache, log)
 	k.fetcher = &recordFetcher{peers: l.peers, cache: k.cache}
@@ -42,31 +42,31 @@
 	})
 	k.inForce = &bundlesInForce{self: self, log: log, cache: k.cache, store: l.store, view: k.view, fetcher: k.fetcher}
 	k.heartbeats = &heartbeats{
-		self:     self,
-		members:  k.members,
-		interval: config.Peers.HeartbeatInterval,
-		known:    config.Peers.Known,
-		router:   k.router,
-		cache:    k.cache,
-		fleet:    k.fleet,
-		fetcher:  k.fetcher,
-		peers:    l.peers,
-		set:      set,
-		soon:     newSignal(),
+		self:       self,
+		members:    k.members,
+		interval:   config.Peers.HeartbeatInterval,
+		knownPeers: config.Peers.Known,
+		router:     k.router,
+		cache:      k.cache,
+		fleet:      k.fleet,
+		fetcher:    k.fetcher,
+		peers:      l.peers,
+		set:        set,
+		sendSoon:   newSignal(),
 	}
-	k.readFrom(config.Platform.URL, l, log, set)
+	k.addReaders(config.Platform.URL, l, log, set)
 	return k
 }
 
-// readFrom makes the parts that read the store and the box list, and apply what comes.
-func (k *knowledge) readFrom(url string, l *links, log *zap.Logger, set *metrics.Set) {
+// addReaders makes the parts that read the store and the box list, and the one that applies what they read.
+func (k *knowledge) addReaders(url string, l *connections, log *zap.Logger, set *metrics.Set) {
 	k.follower = &storeFollower{store: l.store, cache: k.cache, members: k.members, inForce: k.inForce}
 	k.boxList = &boxListReader{
 		url:     url,
 		client:  l.platform,
 		members: k.members,
 		cache:   k.cache,
-		tidy: &tidier{
+		cleaner: &staleStateCleaner{
 			members: k.members,
 			fleet:   k.fleet,
 			engines: l.engines,
@@ -85,7 +85,7 @@
 		log:           log,
 		set:           set,
 		changed:       newSignal(),
-		heartbeatSoon: k.heartbeats.soon,
+		heartbeatSoon: k.heartbeats.sendSoon,
 	}
 	k.cache.Subscribe(func(records.Record) { wake(k.applier.changed) })
 }
--- a/internal/box/load_table.go
+++ b/internal/box/load_table.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// silentEngine is after how long without a report an engine counts as silent.
-	silentEngine = 15 * time.Second
-	// neverTaken is the age of loads that were never taken in: any age above farLoadsAge has them fetched.
-	neverTaken = time.Hour
+	// loadReportTimeout is how long after its last load report an engine counts as unresponsive.
+	loadReportTimeout = 15 * time.Second
+	// neverUpdatedAge is the age of loads that were never received. Any age above remoteLoadsMaxAge has them fetched.
+	neverUpdatedAge = time.Hour
 )
 
-// loadTable owns the latest load report of each engine.
+// loadTable holds the latest load report of each engine.
 type loadTable struct {
 	mu    sync.Mutex
 	loads map[string]loadReport
-	// takenAt is when a hall's record was last taken in.
-	takenAt map[string]time.Time
+	// updatedAt is when each hall's record was last applied.
+	updatedAt map[string]time.Time
 }
 
-// loadReport is an engine's load with the time at which this box took it in.
+// loadReport is an engine's load with the time at which this box applied it.
 type loadReport struct {
 	load orders.Load
 	at   time.Time
 }
 
 func newLoadTable() *loadTable {
-	return &loadTable{loads: map[string]loadReport{}, takenAt: map[string]time.Time{}}
+	return &loadTable{loads: map[string]loadReport{}, updatedAt: map[string]time.Time{}}
 }
 
-// take takes the record of a hall's loads in.
-func (t *loadTable) take(name string, loads orders.Loads) {
+// update stores the loads of a hall's record.
+func (t *loadTable) update(name string, loads orders.Loads) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.takenAt[name] = now
+	t.updatedAt[name] = now
 	for id, load := range loads.Engines {
 		t.loads[id] = loadReport{load: load, at: now}
 	}
 }
 
-// reporting reports whether an engine's load came within silentEngine.
-func (t *loadTable) reporting(id string) bool {
+// hasRecentReport reports whether an engine's load was received within loadReportTimeout.
+func (t *loadTable) hasRecentReport(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report, ok := t.loads[id]
-	return ok && time.Since(report.at) < silentEngine
+	return ok && time.Since(report.at) < loadReportTimeout
 }
 
-// candidate describes an engine to the router.
+// candidate returns an engine as a candidate for the router.
 func (t *loadTable) candidate(id string, state engineState) routing.Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,13 +66,13 @@
 	}
 }
 
-// age is how long ago the record of a hall's loads was last taken in.
+// age returns the time since a hall's record was last applied.
 func (t *loadTable) age(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, ok := t.takenAt[name]
+	at, ok := t.updatedAt[name]
 	if !ok {
-		return neverTaken
+		return neverUpdatedAge
 	}
 	return time.Since(at)
 }
--- a/internal/box/loops.go
+++ b/internal/box/loops.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// run starts loops that end with ctx; the group is done when all have returned.
-func run(ctx context.Context, loops ...func(context.Context)) *sync.WaitGroup {
+// startLoops runs each loop in a goroutine until ctx ends. The group is done when all of them have returned.
+func startLoops(ctx context.Context, loops ...func(context.Context)) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for _, loop := range loops {
 		running.Go(func() { loop(ctx) })
@@ -16,10 +16,10 @@
 	return &running
 }
 
-// newSignal returns a channel that wakes one loop; signals that come before the loop takes the first are one.
+// newSignal returns a channel that wakes one loop. Signals that are sent before the loop receives one are merged.
 func newSignal() chan struct{} { return make(chan struct{}, 1) }
 
-// wake signals a loop without waiting for it.
+// wake signals a loop without blocking.
 func wake(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -27,7 +27,7 @@
 	}
 }
 
-// pause waits, and reports whether ctx is still on.
+// pause waits for the given time and reports true, or false if ctx ends first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-time.After(wait):
@@ -37,7 +37,7 @@
 	}
 }
 
-// jitter spreads a pause evenly over 7/8 to 9/8 of it, so that boxes do not act in step.
+// jitter returns a random pause of 7/8 to 9/8 of wait, so that boxes do not act in step.
 func jitter(wait time.Duration) time.Duration {
 	return wait - wait/8 + rand.N(wait/4)
 }
--- a/internal/box/memory_test.go
+++ b/internal/box/memory_test.go
@@ -44,7 +44,7 @@
 			t.roll(b, bundleText(version, fmt.Sprintf("w%d", version), "18GiB", models...))
 			time.Sleep(time.Duration(random.IntN(15)) * time.Second)
 			for id, b := range t.boxes {
-				if _, err := b.control.hall.Term(); err == nil && random.IntN(2) == 0 {
+				if _, err := b.control.hallLease.Term(); err == nil && random.IntN(2) == 0 {
 					hall := b.config.Hall
 					t.kill(id)
 					t.startBox(spec, hall, id)
--- a/internal/box/model_once.go
+++ b/internal/box/model_once.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// claimedGrace is how long a run that was claimed elsewhere may take to reach its engine.
-	claimedGrace = 2 * time.Second
-	// claimedPause is the pause between two looks for it.
-	claimedPause = 100 * time.Millisecond
+	// joinGracePeriod is how long a run that an earlier attempt claimed may take to reach its engine.
+	joinGracePeriod = 2 * time.Second
+	// joinRetryDelay is the pause between two attempts to find that run at the engine.
+	joinRetryDelay = 100 * time.Millisecond
 )
 
-// modelOnce is a request on a model that may run at most once. An engine can resume an answer and confirm that a run
-// never began, which plain services cannot (service_once.go).
+// modelOnce is a request on a model that may run at most once. An engine can resume an answer and can confirm that a
+// run never began. Plain services can do neither (service_once.go).
 type modelOnce struct {
 	*modelServer
-	request *modelRequest
-	once    onceRequest
-	d       *delivery
+	request     *modelRequest
+	onceRequest onceRequest
+	d           *delivery
 }
 
-// serveOnce runs a request that may run at most once, or goes on with the run of an earlier attempt.
+// serveOnce runs a request that may run at most once, or joins the run of an earlier attempt.
 func (s *modelServer) serveOnce(ctx context.Context, r *modelRequest, d *delivery) *refusal {
-	m := modelOnce{modelServer: s, request: r, once: r.once(), d: d}
-	run := onceRun{request: m.once, claimed: s.claimed, choose: m.chooseAndAdmit, send: m.send, join: m.join}
+	m := modelOnce{modelServer: s, request: r, onceRequest: r.onceRequest(), d: d}
+	run := onceRun{request: m.onceRequest, claimed: s.claimed, choose: m.chooseAndAdmit, send: m.send, join: m.join}
 	return run.serve(ctx)
 }
 
@@ -47,9 +47,9 @@
 	return claimedUpstream{id: picked.ID, incarnation: picked.incarnation, done: done}, nil
 }
 
-// send sends a claimed run to its engine and settles its outcome.
-func (m modelOnce) send(ctx context.Context, own claims.Claim) (again bool, refused *refusal) {
-	m.d.begin(own.RequestID)
+// send sends a claimed run to its engine and records its outcome.
+func (m modelOnce) send(ctx context.Context, own claims.Claim) (reclaim bool, refused *refusal) {
+	m.d.startRun(own.RequestID)
 	err := m.runs.run(ctx, m.request, own.Upstream, m.d)
 	outcomes := m.claimed.outcomes
 	switch {
@@ -57,47 +57,47 @@
 		outcomes.end(own.RequestID, peer.RunDone, nil)
 		return false, nil
 	case m.d.sendErr != nil || ctx.Err() != nil:
-		// The run goes on at the engine, where the caller's next attempt finds it.
+		// The run continues at the engine, where the caller's next attempt joins it.
 		outcomes.end(own.RequestID, peer.RunUnknown, nil)
 		return false, unknown(reasonCallerLeft, remedyUnknown)
 	}
-	m.runs.noteFailure(m.request, own.Upstream, err)
-	if m.d.next == 0 && (notStarted(err) || m.runs.neverBegan(own)) {
+	m.runs.recordFailure(m.request, own.Upstream, err)
+	if m.d.nextIndex == 0 && (notStarted(err) || m.runs.confirmNeverStarted(own)) {
 		outcomes.end(own.RequestID, peer.RunNotRun, nil)
-		return m.claimed.release(ctx, m.once, own.RequestID)
+		return m.claimed.release(ctx, m.onceRequest, own.RequestID)
 	}
 	outcomes.end(own.RequestID, peer.RunUnknown, nil)
 	return false, unknown(reasonUpstream, remedyUnknown)
 }
 
-// join hands on the answer of a run that an earlier attempt claimed. Until claimedGrace has passed, the run may still
-// be on its way to the engine.
-func (m modelOnce) join(ctx context.Context, claim claims.Claim) (again bool, refused *refusal) {
+// join passes on the answer of a run that an earlier attempt claimed. Until joinGracePeriod has passed, the run may
+// still be on its way to the engine.
+func (m modelOnce) join(ctx context.Context, claim claims.Claim) (reclaim bool, refused *refusal) {
 	m.claimed.countJoined()
-	m.d.begin(claim.RequestID)
+	m.d.startRun(claim.RequestID)
 	if _, listed := m.fleet.snapshot.Load().engines[claim.Upstream]; !listed {
-		return false, unknown(reasonClaimedGone, "the engine that the request was given to is gone; "+remedyUnknown)
+		return false, unknown(reasonEarlierAttempt, "the engine that the request was given to is gone; "+remedyUnknown)
 	}
 	client := m.runs.client(claim.Upstream)
-	deadline := time.Now().Add(claimedGrace)
+	deadline := time.Now().Add(joinGracePeriod)
 	for {
-		err := client.Resume(ctx, claim.RequestID, m.d.next, m.d.take)
+		err := client.Resume(ctx, claim.RequestID, m.d.nextIndex, m.d.deliver)
 		err = m.runs.resume(ctx, client, m.d, err)
 		switch {
 		case err == nil:
 			return false, nil
 		case m.d.sendErr != nil || ctx.Err() != nil:
 			return false, callerLeft(ctx)
-		case !errors.Is(err, engine.ErrNoRun) || m.d.next > 0:
+		case !errors.Is(err, engine.ErrNoRun) || m.d.nextIndex > 0:
 			return false, unknown(reasonUpstream, remedyUnknown)
 		}
 		found := m.claimed.outcomeOfClaim(ctx, claim, 0)
-		if found.Outcome == peer.RunNotRun || (time.Now().After(deadline) && m.runs.neverBegan(claim)) {
-			return m.claimed.release(ctx, m.once, claim.RequestID)
+		if found.Outcome == peer.RunNotRun || (time.Now().After(deadline) && m.runs.confirmNeverStarted(claim)) {
+			return m.claimed.release(ctx, m.onceRequest, claim.RequestID)
 		}
 		if time.Now().After(deadline) {
-			return false, unknown(reasonClaimedGone, remedyUnknown)
+			return false, unknown(reasonEarlierAttempt, remedyUnknown)
 		}
-		pause(ctx, claimedPause)
+		pause(ctx, joinRetryDelay)
 	}
 }
--- a/internal/box/model_repeatable.go
+++ b/internal/box/model_repeatable.go
@@ -7,10 +7,11 @@
 )
 
 // serveRepeatable runs a request that may run several times: on one engine after another, until one gives a whole
-// answer. It differs from serviceProxy.serveRepeatable in three ways. Admission needs the wait at the engine chosen.
-// An engine confirms whether it started a request, so an attempt that did not start takes nothing from the retry
-// budget. An engine's broken answer is resumed first, and a streamed answer that the caller has seen in part cannot
-// be begun anew.
+// answer. It differs from serviceProxy.serveRepeatable in three ways:
+//   - Admission needs the estimated wait at the engine chosen.
+//   - An engine confirms whether it started a request, so an attempt that did not start costs no retry budget.
+//   - An engine's broken answer is first resumed, and a streamed answer of which the caller has seen a part cannot be
+//     begun again.
 func (s *modelServer) serveRepeatable(ctx context.Context, r *modelRequest, d *delivery) *refusal {
 	s.retries.Request()
 	picked, refused := s.choose(r)
@@ -22,11 +23,11 @@
 		return refused
 	}
 	defer done()
-	// mayHaveRun is set when some engine may have run the request in part.
+	// mayHaveRun is set once some engine may have run the request, wholly or in part.
 	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
 		id := uuid.Must(uuid.NewV7()).String()
-		if !d.begin(id) {
+		if !d.startRun(id) {
 			return unknown(reasonBrokenOff, "the answer broke off and can't be resumed: send the request again")
 		}
 		err := s.runs.run(ctx, r, picked.ID, d)
@@ -35,17 +36,17 @@
 		}
 		if !notStarted(err) {
 			mayHaveRun = true
-			s.runs.cancelLater(picked.ID, id)
+			s.runs.cancelInBackground(picked.ID, id)
 		}
 		if ctx.Err() != nil || d.sendErr != nil {
 			return callerLeft(ctx)
 		}
-		s.runs.noteFailure(r, picked.ID, err)
+		s.runs.recordFailure(r, picked.ID, err)
 		if !mayTryAnother(attempt, notStarted(err), s.retries) {
-			return exhausted(mayHaveRun)
+			return attemptsExhausted(mayHaveRun)
 		}
 		if picked, refused = s.choose(r); refused != nil {
-			return exhausted(mayHaveRun)
+			return attemptsExhausted(mayHaveRun)
 		}
 	}
 }
--- a/internal/box/model_server.go
+++ b/internal/box/model_server.go
@@ -13,7 +13,7 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// modelServer serves callers' requests on models, over Connect.
+// modelServer serves callers' requests on models over Connect.
 type modelServer struct {
 	inForce   *bundlesInForce
 	fleet     *fleetState
@@ -31,7 +31,7 @@
 func (s *modelServer) Generate(ctx context.Context, r *connect.Request[ospreymoorv1.GenerateRequest], stream *connect.ServerStream[ospreymoorv1.GenerateResponse]) error {
 	request, refused := s.resolve(r.Header(), r.Msg)
 	if refused != nil {
-		return s.refuse(request, refused.unlessRetry(mayBeRetry(r.Msg)))
+		return s.refuse(request, refused.unknownIfRetry(mayBeRetry(r.Msg)))
 	}
 	d := newDelivery(func(id string, index uint32, text string) error {
 		return stream.Send(&ospreymoorv1.GenerateResponse{RequestId: id, Index: index, Text: text})
@@ -39,15 +39,15 @@
 	if refused := s.serve(ctx, request, d); refused != nil {
 		return s.refuse(request, refused)
 	}
-	s.counters.servedModel(request, d)
+	s.counters.countModelAnswer(request, d)
 	return stream.Send(&ospreymoorv1.GenerateResponse{
 		RequestId: d.id,
-		Index:     d.next,
-		End:       &ospreymoorv1.End{Count: d.next},
+		Index:     d.nextIndex,
+		End:       &ospreymoorv1.End{Count: d.nextIndex},
 	})
 }
 
-// Complete returns a whole answer.
+// Complete returns a whole answer at once.
 func (s *modelServer) Complete(ctx context.Context, r *connect.Request[ospreymoorv1.CompleteRequest]) (*connect.Response[ospreymoorv1.CompleteResponse], error) {
 	message := r.Msg.GetRequest()
 	if message == nil {
@@ -55,7 +55,7 @@
 	}
 	request, refused := s.resolve(r.Header(), message)
 	if refused != nil {
-		return nil, s.refuse(request, refused.unlessRetry(mayBeRetry(message)))
+		return nil, s.refuse(request, refused.unknownIfRetry(mayBeRetry(message)))
 	}
 	var text strings.Builder
 	d := newDelivery(func(_ string, _ uint32, piece string) error {
@@ -66,8 +66,8 @@
 	if refused := s.serve(ctx, request, d); refused != nil {
 		return nil, s.refuse(request, refused)
 	}
-	s.counters.servedModel(request, d)
-	return connect.NewResponse(&ospreymoorv1.CompleteResponse{RequestId: d.id, Text: text.String(), Count: d.next}), nil
+	s.counters.countModelAnswer(request, d)
+	return connect.NewResponse(&ospreymoorv1.CompleteResponse{RequestId: d.id, Text: text.String(), Count: d.nextIndex}), nil
 }
 
 // mayBeRetry reports whether an earlier attempt of a request that may not be repeated may have run.
@@ -75,8 +75,8 @@
 	return message.GetNotRepeatable() && !message.GetFirstAttempt()
 }
 
-// resolve finds the caller's customer and the model in the bundle in force. A refusal comes with the request as far
-// as it is known.
+// resolve finds the caller's customer and the model in the bundle in force. With a refusal it returns what is known
+// of the request so far, or nil if the caller is not known.
 func (s *modelServer) resolve(header http.Header, message *ospreymoorv1.GenerateRequest) (*modelRequest, *refusal) {
 	who, refused := s.inForce.authenticate(header)
 	if refused != nil {
@@ -86,7 +86,7 @@
 	if !ok {
 		return nil, notRun(connect.CodeNotFound, reasonNotFound, "no such model in the bundle in force; see bundle list", 0)
 	}
-	r := &modelRequest{caller: who, model: model, key: who.bundle.Customer + "/" + model.Name, message: message}
+	r := &modelRequest{caller: who, model: model, fullName: who.bundle.Customer + "/" + model.Name, message: message}
 	if message.GetAdapter() != "" {
 		adapter, ok := who.bundle.Adapter(model.Name, message.GetAdapter())
 		if !ok {
@@ -95,15 +95,15 @@
 		r.adapter = bundle.AdapterItem(who.bundle.Customer, adapter)
 	}
 	if message.GetNotRepeatable() {
-		if refused := checkKey(message.GetRequestKey()); refused != nil {
+		if refused := checkRequestKey(message.GetRequestKey()); refused != nil {
 			return r, refused
 		}
 	}
-	r.item = s.weights.choose(s.fleet.snapshot.Load(), r.key, bundle.ModelItem(who.bundle.Customer, model))
+	r.item = s.weights.choose(s.fleet.snapshot.Load(), r.fullName, bundle.ModelItem(who.bundle.Customer, model))
 	return r, nil
 }
 
-// serve runs a request to its end: a whole answer in d, or a refusal.
+// serve runs a request to its end. It either delivers a whole answer through d or returns a refusal.
 func (s *modelServer) serve(ctx context.Context, r *modelRequest, d *delivery) *refusal {
 	if r.message.GetNotRepeatable() {
 		return s.serveOnce(ctx, r, d)
@@ -111,8 +111,8 @@
 	return s.serveRepeatable(ctx, r, d)
 }
 
-// refuse counts a refusal and turns it into the caller's error.
+// refuse counts a refusal and returns it as an error for the caller.
 func (s *modelServer) refuse(r *modelRequest, refused *refusal) error {
-	s.counters.refusedModel(r, refused)
+	s.counters.countModelRefusal(r, refused)
 	return refused.connectError()
 }
--- a/internal/box/operator_server.go
+++ b/internal/box/operator_server.go
@@ -20,7 +20,7 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// operatorServer serves the operators of customers, who sign off, roll and retire bundles, over Connect.
+// operatorServer serves the operators of customers over Connect. They sign off, roll and retire bundles.
 type operatorServer struct {
 	// tokens holds the SHA-256 of each operator's token, in hex, by customer.
 	tokens   map[string]string
@@ -34,7 +34,7 @@
 
 // CheckBundle checks a bundle's text.
 func (s *operatorServer) CheckBundle(_ context.Context, r *connect.Request[ospreymoorv1.CheckBundleRequest]) (*connect.Response[ospreymoorv1.CheckBundleResponse], error) {
-	customer, err := s.operator(r.Header())
+	customer, err := s.authenticate(r.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -51,9 +51,9 @@
 	}), nil
 }
 
-// SignOffBundle stores a bundle version for good.
+// SignOffBundle stores a bundle version, which cannot be changed afterwards.
 func (s *operatorServer) SignOffBundle(ctx context.Context, r *connect.Request[ospreymoorv1.SignOffBundleRequest]) (*connect.Response[ospreymoorv1.SignOffBundleResponse], error) {
-	customer, err := s.operator(r.Header())
+	customer, err := s.authenticate(r.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 
 // RollBundle puts a version in force.
 func (s *operatorServer) RollBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RollBundleRequest]) (*connect.Response[ospreymoorv1.RollBundleResponse], error) {
-	generation, err := s.change(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Roll)
+	generation, err := s.changeTable(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Roll)
 	if err != nil {
 		return nil, err
 	}
@@ -83,20 +83,20 @@
 
 // RetireBundle takes the version in force out of service.
 func (s *operatorServer) RetireBundle(ctx context.Context, r *connect.Request[ospreymoorv1.RetireBundleRequest]) (*connect.Response[ospreymoorv1.RetireBundleResponse], error) {
-	generation, err := s.change(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Retire)
+	generation, err := s.changeTable(ctx, r.Header(), r.Msg.GetVersion(), s.registry.Retire)
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&ospreymoorv1.RetireBundleResponse{Generation: generation}), nil
 }
 
-// change changes the table in force for the operator's customer, and takes the change in here.
-func (s *operatorServer) change(ctx context.Context, header http.Header, version uint64, do func(context.Context, string, uint64) (int64, error)) (int64, error) {
-	customer, err := s.operator(header)
+// changeTable changes the table in force for the operator's customer, and then reads the change into this box.
+func (s *operatorServer) changeTable(ctx context.Context, header http.Header, version uint64, update func(context.Context, string, uint64) (int64, error)) (int64, error) {
+	customer, err := s.authenticate(header)
 	if err != nil {
 		return 0, err
 	}
-	generation, err := do(ctx, customer, version)
+	generation, err := update(ctx, customer, version)
 	if err != nil {
 		return 0, operatorError(err)
 	}
@@ -104,9 +104,9 @@
 	return generation, nil
 }
 
-// ListBundles lists the operator's own versions.
+// ListBundles lists the bundle versions of the operator's customer.
 func (s *operatorServer) ListBundles(ctx context.Context, r *connect.Request[ospreymoorv1.ListBundlesRequest]) (*connect.Response[ospreymoorv1.ListBundlesResponse], error) {
-	customer, err := s.operator(r.Header())
+	customer, err := s.authenticate(r.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -129,9 +129,9 @@
 	return connect.NewResponse(answer), nil
 }
 
-// GetBurn reports the service level of the operator's own models over all boxes.
+// GetBurn reports the service level of the models of the operator's customer, over all boxes.
 func (s *operatorServer) GetBurn(ctx context.Context, r *connect.Request[ospreymoorv1.GetBurnRequest]) (*connect.Response[ospreymoorv1.GetBurnResponse], error) {
-	customer, err := s.operator(r.Header())
+	customer, err := s.authenticate(r.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// burnLine is one line of the burn report.
+// burnLine returns one line of the burn report.
 func burnLine(s burn.Status) *ospreymoorv1.BurnLine {
 	return &ospreymoorv1.BurnLine{
 		Model:        s.Model,
@@ -167,8 +167,8 @@
 	}
 }
 
-// operator finds the customer whose operator's token was sent.
-func (s *operatorServer) operator(header http.Header) (string, error) {
+// authenticate returns the customer whose operator's token the request carries.
+func (s *operatorServer) authenticate(header http.Header) (string, error) {
 	token, ok := bearerToken(header)
 	if !ok {
 		return "", s.refuseToken(remedyToken)
@@ -176,7 +176,7 @@
 	sum := sha256.Sum256([]byte(token))
 	found := ""
 	for customer, digest := range s.tokens {
-		// A digest that is no hex matches no token; `ospreymoor serve` has checked it.
+		// `ospreymoor serve` checks that the digest is hex. One that is not matches no token.
 		want, err := hex.DecodeString(digest)
 		if err == nil && subtle.ConstantTimeCompare(sum[:], want) == 1 {
 			found = customer
@@ -188,14 +188,14 @@
 	return found, nil
 }
 
-// refuseToken counts a request without a known token and refuses it.
+// refuseToken counts and returns the refusal of a request without a known token.
 func (s *operatorServer) refuseToken(remedy string) error {
 	refused := notRun(connect.CodeUnauthenticated, reasonToken, remedy, 0)
-	s.counters.refused("", refused)
+	s.counters.countRefusalMetric("", refused)
 	return refused.connectError()
 }
 
-// parse reads a bundle's text, which must be of the operator's customer.
+// parse parses a bundle's text. The bundle must belong to the operator's customer.
 func (s *operatorServer) parse(customer, yaml string) (*bundle.Bundle, error) {
 	text, err := bundle.Parse("bundle", []byte(yaml))
 	if err != nil {
@@ -207,14 +207,16 @@
 	return text, nil
 }
 
-// fetchChange takes a change of this box's own in at once. If that fails, the change comes as it comes to all boxes.
+// fetchChange reads a change made by this box from the store at once. If that fails, the change arrives as on all
+// other boxes.
 func (s *operatorServer) fetchChange(ctx context.Context) {
 	if _, err := s.follower.read(ctx); err != nil {
 		s.set.GetOrCreateCounter("ospreymoor_fetch_failures_total").Inc()
 	}
 }
 
-// operatorError gives an error the code by which operators know whether to correct, try again or look up.
+// operatorError gives an error the Connect code that tells operators whether to correct the request, try it again or
+// look up what came of it.
 func operatorError(err error) error {
 	code := connect.CodeInternal
 	switch {
--- a/internal/box/outcomes.go
+++ b/internal/box/outcomes.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// outcomesKept bounds the claimed runs that a box remembers.
-	outcomesKept = 10_000
-	// answerBytesKept bounds the plain services' answers that it keeps for later attempts, in bytes of their bodies.
-	// See docs/design/claims.md.
-	answerBytesKept = 16 << 20
-	// longestOutcomeWait bounds how long another box may wait for the end of a run.
-	longestOutcomeWait = 30 * time.Second
+	// maxOutcomes bounds the claimed runs that a box remembers.
+	maxOutcomes = 10_000
+	// maxKeptAnswerBytes bounds the plain services' answers that are kept for later attempts, in bytes of their
+	// bodies. See docs/design/claims.md.
+	maxKeptAnswerBytes = 16 << 20
+	// maxOutcomeWait bounds how long a request for an outcome may wait for the end of a run.
+	maxOutcomeWait = 30 * time.Second
 )
 
-// outcomes owns what became of the runs that this box claimed. It is soft state: the outcome of a run that was
+// outcomes holds the outcomes of the runs that this box claimed. It is soft state: the outcome of a run that was
 // forgotten is unknown.
 type outcomes struct {
 	mu   sync.Mutex
 	byID map[string]*outcome
-	// order lists the ids from the oldest to the newest; bytes adds up the bodies of the answers kept.
+	// order lists the ids from the oldest to the newest. bytes is the size of the answers' bodies kept.
 	order []string
 	bytes int
 }
 
-// outcome is what became of one claimed run.
+// outcome is the state of one claimed run.
 type outcome struct {
 	state  peer.RunOutcome
 	answer *peer.Answer
@@ -38,7 +38,7 @@
 
 func newOutcomes() *outcomes { return &outcomes{byID: map[string]*outcome{}} }
 
-// begin remembers a run before it is claimed.
+// begin records a run. It is called before the run is claimed.
 func (o *outcomes) begin(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,8 +47,8 @@
 	o.trim()
 }
 
-// maySend reports whether a claimed run may be sent to its upstream: not if it was forgotten in the meantime, since
-// its outcome could no longer be reported to other boxes.
+// maySend reports whether a claimed run may be sent to its upstream. It may not if it was forgotten in the meantime,
+// since its outcome could then no longer be told to other boxes.
 func (o *outcomes) maySend(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,7 +56,7 @@
 	return entry != nil && entry.state == peer.RunRunning
 }
 
-// end notes a run's outcome, with its answer if it is to be kept. Only the first outcome counts.
+// end records a run's outcome, with its answer if that is to be kept. Only the first outcome counts.
 func (o *outcomes) end(id string, state peer.RunOutcome, answer *peer.Answer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -72,7 +72,7 @@
 	o.trim()
 }
 
-// wait returns a run's outcome, after waiting for its end for up to wait and longestOutcomeWait.
+// wait returns a run's outcome. If the run is still going, it waits for its end for at most wait and maxOutcomeWait.
 func (o *outcomes) wait(ctx context.Context, id string, wait time.Duration) peer.OutcomeResponse {
 	o.mu.Lock()
 	entry := o.byID[id]
@@ -84,7 +84,7 @@
 		select {
 		case <-entry.ended:
 		case <-ctx.Done():
-		case <-time.After(min(wait, longestOutcomeWait)):
+		case <-time.After(min(wait, maxOutcomeWait)):
 		}
 	}
 	o.mu.Lock()
@@ -92,14 +92,14 @@
 	return peer.OutcomeResponse{Outcome: entry.state, Answer: entry.answer}
 }
 
-// answerPeer answers another box's question for an outcome.
-func (o *outcomes) answerPeer(ctx context.Context, request peer.OutcomeRequest) (peer.OutcomeResponse, error) {
+// handleOutcome answers another box that asks for the outcome of a run.
+func (o *outcomes) handleOutcome(ctx context.Context, request peer.OutcomeRequest) (peer.OutcomeResponse, error) {
 	return o.wait(ctx, request.RequestID, request.Wait), nil
 }
 
-// trim forgets the oldest runs beyond the bounds. The caller holds the lock.
+// trim forgets the oldest runs until the bounds are kept. The caller holds the lock.
 func (o *outcomes) trim() {
-	for len(o.order) > 0 && (len(o.order) > outcomesKept || o.bytes > answerBytesKept) {
+	for len(o.order) > 0 && (len(o.order) > maxOutcomes || o.bytes > maxKeptAnswerBytes) {
 		oldest := o.byID[o.order[0]]
 		if oldest != nil && oldest.answer != nil {
 			o.bytes -= len(oldest.answer.Body)
--- a/internal/box/overload_test.go
+++ b/internal/box/overload_test.go
@@ -85,7 +85,7 @@
 	}
 
 	It("of retries is held to a share of the requests when an engine breaks every answer off", func() {
-		Expect(dispatches(retryShare)).To(BeNumerically("<", 1.25))
+		Expect(dispatches(retryBudgetRatio)).To(BeNumerically("<", 1.25))
 	})
 
 	It("of the key-value service does not come from a fleet at rest", func() {
--- a/internal/box/pages.go
+++ b/internal/box/pages.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// headerTime bounds the reading of a request's head.
-	headerTime = 10 * time.Second
-	// compressFrom is the length from which a message is compressed, in bytes: pieces of an answer are a few bytes each,
-	// and compressing them would take longer than all else.
-	compressFrom = 4096
+	// readHeaderTimeout bounds the reading of a request's header.
+	readHeaderTimeout = 10 * time.Second
+	// compressMinBytes is the size from which a message is compressed. Pieces of an answer are a few bytes each, and
+	// compressing them would take longer than everything else.
+	compressMinBytes = 4096
 )
 
-// handler serves callers, operators and the box's pages.
+// handler returns the handler for callers, operators and the box's own pages.
 func (b *Box) handler() http.Handler {
 	options := connect.WithHandlerOptions(
 		connect.WithReadMaxBytes(int(b.config.Requests.MaxBody)),
-		connect.WithCompressMinBytes(compressFrom),
+		connect.WithCompressMinBytes(compressMinBytes),
 	)
 	mux := http.NewServeMux()
 	mux.Handle(ospreymoorv1connect.NewInferenceServiceHandler(b.models, options))
@@ -34,7 +34,7 @@
 	return mux
 }
 
-// readyz answers the balancer whether the box should get requests.
+// readyz tells the balancer whether the box should get requests.
 func (b *Box) readyz(w http.ResponseWriter, _ *http.Request) {
 	if b.Ready() {
 		_, _ = fmt.Fprintln(w, "ready")
@@ -48,7 +48,7 @@
 	_, _ = fmt.Fprintln(w, "starting: what is in force is not known from the platform or a peer yet; check --platform and --peer")
 }
 
-// newServer returns the server for callers: HTTP/1.1, and HTTP/2 without TLS.
+// newServer returns the server for callers, with HTTP/1.1 and with HTTP/2 without TLS.
 func newServer(handler http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -56,7 +56,7 @@
 	return &http.Server{
 		Handler:           handler,
 		Protocols:         &protocols,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleConnTimeout,
 	}
 }
--- a/internal/box/planner.go
+++ b/internal/box/planner.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// planInterval is the pause between two plans.
+	// planInterval is the shortest pause between two plans.
 	planInterval = time.Second
-	// planShare makes a planner that takes long plan less often: it takes no more than one part in so many of a core.
-	// Its effect by size of the fleet is in docs/CAPACITY.md.
-	planShare = 50
-	// planTime bounds the writing of one plan.
-	planTime = 3 * time.Second
-	// retireAfter is how long copies of old weights stay: longer than a record takes to be everywhere.
+	// planPauseFactor is how many times as long as the last plan took the pause before the next one is, if that is
+	// longer than planInterval. Planning thus takes no more than about 1/planPauseFactor of a core. Its effect by
+	// size of the fleet is in docs/CAPACITY.md.
+	planPauseFactor = 50
+	// planWriteTimeout bounds the writing of one plan.
+	planWriteTimeout = 3 * time.Second
+	// retireAfter is how long replicas of old weights are kept. It is longer than a record takes to reach all boxes.
 	retireAfter = 10 * time.Second
-	// sweepInterval is the pause between two sweeps of old claims.
+	// sweepInterval is the time between two sweeps of old claims.
 	sweepInterval = 2 * time.Minute
 )
 
 // Reasons why no plan is written.
 const (
-	errPlanStands   = errors.ConstError("the plan stands as it is")
-	errOtherPlanner = errors.ConstError("a planner with a higher term has written")
+	errPlanUnchanged = errors.ConstError("the plan stands as it is")
+	errNewerTerm     = errors.ConstError("a planner with a higher term has written")
 )
 
-// planner makes the fleet's plans, and sweeps old claims, while this box holds the planner's lease. The rule of a plan
-// is placement.Next.
+// planner makes the fleet's plans and sweeps old claims while this box holds the planner's lease. placement.Next
+// decides what a plan contains.
 type planner struct {
 	self     *self
 	lease    *lease.Lease
@@ -50,7 +51,7 @@
 	log      *zap.Logger
 	set      *metrics.Set
 
-	// readTerm is the latest term for which the store was read; sweptAt is when claims were last swept.
+	// readTerm is the latest term for which the store was read. sweptAt is when claims were last swept.
 	readTerm int64
 	sweptAt  time.Time
 }
@@ -59,7 +60,7 @@
 func (p *planner) run(ctx context.Context) {
 	p.sweptAt = time.Now()
 	var took time.Duration
-	for pause(ctx, jitter(max(planInterval, planShare*took))) {
+	for pause(ctx, jitter(max(planInterval, planPauseFactor*took))) {
 		term, err := p.lease.Term()
 		if err != nil {
 			continue // Another box plans.
@@ -78,20 +79,20 @@
 	}
 }
 
-// takeOver reads the store once a term, and reports whether that is done: what this box holds may be older than what
-// the planner before it went by.
+// takeOver reads the store once per term and reports whether that has been done. What this box has may be older than
+// what the previous planner used.
 func (p *planner) takeOver(ctx context.Context, term int64) bool {
 	if term == p.readTerm {
 		return true
 	}
 	if _, err := p.follower.read(ctx); err != nil {
-		return false // Tried again with the next plan.
+		return false // The next round tries again.
 	}
 	p.readTerm = term
 	return true
 }
 
-// sweep drops old claims when sweepInterval has passed.
+// sweep removes old claims if sweepInterval has passed since the last sweep.
 func (p *planner) sweep(ctx context.Context) {
 	if time.Since(p.sweptAt) <= sweepInterval {
 		return
@@ -102,61 +103,61 @@
 	}
 }
 
-// replan writes the next plan if it differs from the one that stands. It makes none before the box list and the newest
-// table in force are known: an older table would plan away the models of a bundle that was just rolled.
+// replan writes the next plan if it differs from the current one. It does nothing until the box list and the newest
+// table in force are known: with an older table it would drop the models of a bundle that was just rolled.
 func (p *planner) replan(ctx context.Context, term int64) error {
 	table := p.inForce.current.Load()
 	if table == nil || p.fleet.view.Size() == 0 || !p.inForce.newest(table) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, planTime)
+	ctx, cancel := context.WithTimeout(ctx, planWriteTimeout)
 	defer cancel()
 	in := p.input(table)
-	// The plan that is known here stands most of the time: then nothing is read or written.
+	// Most of the time the plan known here does not change. Then nothing is read or written.
 	if next := placement.Next(in); p.fleet.snapshot.Load().planned && next.Equal(in.Last) && in.Last.Term == term {
 		return nil
 	}
 	document, err := kv.UpdateDocument(ctx, p.store, planRecord, func(last placement.Plan) (placement.Plan, error) {
 		if last.Term > term {
-			return last, errOtherPlanner
+			return last, errNewerTerm
 		}
 		in.Last = last
 		next := placement.Next(in)
 		if next.Equal(last) && last.Term == term {
-			return last, errPlanStands
+			return last, errPlanUnchanged
 		}
 		next.Term, next.Planner = term, p.self.address
 		return next, nil
 	})
-	if errors.Is(err, errPlanStands) {
+	if errors.Is(err, errPlanUnchanged) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	p.put(document)
+	p.cachePlan(document)
 	p.set.GetOrCreateCounter("ospreymoor_plans_total").Inc()
 	return nil
 }
 
-// input is what the next plan is made from.
+// input returns what the next plan is made from.
 func (p *planner) input(table *tableInForce) placement.Input {
 	in := placement.Input{
 		Engines:  p.fleet.placementEngines(),
-		Wanted:   wantedUnits(table.bundles, p.demand.total()),
+		Wanted:   wantedUnits(table.bundles, p.demand.fleetDemand()),
 		Settings: p.settings,
 		Now:      time.Now().UTC().Truncate(time.Millisecond),
 	}
-	in.Settings.RetireAfter, in.Settings.Settle = retireAfter, settleTime
+	in.Settings.RetireAfter, in.Settings.Settle = retireAfter, replicaSettleDelay
 	in.Last = p.fleet.snapshot.Load().plan
 	return in
 }
 
-// put takes a plan that this box wrote into its own cache.
-func (p *planner) put(document kv.Versioned[placement.Plan]) {
+// cachePlan puts a plan that this box wrote into its cache.
+func (p *planner) cachePlan(document kv.Versioned[placement.Plan]) {
 	value, err := json.Marshal(kv.Document[placement.Plan]{Body: document.Body})
 	if err != nil {
-		return // It was encoded to be written, just before.
+		return // Cannot happen: the plan was just encoded to be written.
 	}
 	p.fleet.cache.Put(records.Record{
 		Name:       planRecord,
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -48,7 +48,7 @@
 			time.Sleep(60 * time.Second) // Second copies are loaded.
 			t.net.kill("h1-e1")
 			for id, b := range t.boxes {
-				if _, err := b.control.hall.Term(); err == nil && b.config.Hall == "h1" {
+				if _, err := b.control.hallLease.Term(); err == nil && b.config.Hall == "h1" {
 					t.kill(id)
 					t.startBox(spec, "h1", id)
 				}
@@ -107,7 +107,7 @@
 			}
 			if killed {
 				for id, b := range t.boxes {
-					if b.control.hall.LatestTerm() > 0 {
+					if b.control.hallLease.LatestTerm() > 0 {
 						t.kill(id)
 					}
 				}
--- a/internal/box/record_applier.go
+++ b/internal/box/record_applier.go
@@ -14,10 +14,11 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// adoptRetry is the pause after a table could not be put in force, such as for lack of a text.
-const adoptRetry = 500 * time.Millisecond
+// adoptRetryDelay is the pause after a table could not be put in force, for instance because a bundle's text is
+// missing.
+const adoptRetryDelay = 500 * time.Millisecond
 
-// recordApplier turns records that came into the cache into the state that requests are served by.
+// recordApplier applies records that arrive in the cache to the state by which requests are served.
 type recordApplier struct {
 	cache   *records.Cache
 	reader  *recordReader
@@ -26,9 +27,9 @@
 	inForce *bundlesInForce
 	log     *zap.Logger
 	set     *metrics.Set
-	// changed is signalled when a record came in.
+	// changed is signalled when a record has arrived.
 	changed chan struct{}
-	// heartbeatSoon is signalled when a change must be everywhere within seconds.
+	// heartbeatSoon is signalled when a change must reach all boxes within seconds.
 	heartbeatSoon chan struct{}
 }
 
@@ -41,17 +42,17 @@
 		case <-ctx.Done():
 			return
 		}
-		a.apply(a.newer(applied))
+		a.apply(a.changedNames(applied))
 		if err := a.inForce.adopt(ctx); err != nil {
 			a.set.GetOrCreateCounter("ospreymoor_adopt_failures_total").Inc()
 			a.log.Warn("table not put in force yet", zap.Error(err))
-			time.AfterFunc(adoptRetry, func() { wake(a.changed) })
+			time.AfterFunc(adoptRetryDelay, func() { wake(a.changed) })
 		}
 	}
 }
 
-// newer lists the records that changed since the last call and notes them as applied.
-func (a *recordApplier) newer(applied map[string]records.Generation) []string {
+// changedNames lists the records that have changed since the last call, and marks them as applied.
+func (a *recordApplier) changedNames(applied map[string]records.Generation) []string {
 	var names []string
 	for name, generation := range a.cache.Generations(func(string) bool { return true }) {
 		if old, ok := applied[name]; !ok || old.Less(generation) {
@@ -62,7 +63,7 @@
 	return names
 }
 
-// apply applies the records of names, and rebuilds the fleet's snapshot once if any of them is part of it.
+// apply applies the records named. It rebuilds the fleet's snapshot once if any of them is part of it.
 func (a *recordApplier) apply(names []string) {
 	rebuild := false
 	for _, name := range names {
@@ -73,7 +74,7 @@
 		case name == planRecord, strings.HasPrefix(name, holdingsPrefix):
 			rebuild = true
 		case strings.HasPrefix(name, loadsPrefix):
-			a.fleet.takeLoads(name, readRecord[orders.Loads](a.reader, name))
+			a.fleet.applyLoads(name, readRecord[orders.Loads](a.reader, name))
 		}
 		if name == bundle.TableKey || name == planRecord {
 			wake(a.heartbeatSoon)
--- a/internal/box/record_fetcher.go
+++ b/internal/box/record_fetcher.go
@@ -13,8 +13,8 @@
 	cache *records.Cache
 }
 
-// fetch asks the box at a peer address for records by name. A failure needs no line: the next heartbeat names the
-// same records again, and a bundle's text is asked of another peer or of the store.
+// fetch asks the box at a peer address for records by name. A failure is not logged: the next heartbeat names the
+// same records again, and a bundle's text is then requested from another peer or the store.
 func (f *recordFetcher) fetch(ctx context.Context, address string, names []string) {
 	answer, err := callPeer[peer.RecordsResponse](ctx, f.peers, address, peer.MethodRecords, peer.RecordsRequest{Names: names})
 	if err != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// answer returns those of the records that this box holds.
-func (f *recordFetcher) answer(_ context.Context, request peer.RecordsRequest) (peer.RecordsResponse, error) {
+// handleRecords answers another box with those of the records it asks for that this box has.
+func (f *recordFetcher) handleRecords(_ context.Context, request peer.RecordsRequest) (peer.RecordsResponse, error) {
 	var answer peer.RecordsResponse
 	for _, name := range request.Names {
 		if record, ok := f.cache.Get(name); ok {
--- a/internal/box/record_reader.go
+++ b/internal/box/record_reader.go
@@ -10,8 +10,8 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// recordReader decodes records of the cache. A record that cannot be decoded is logged once for its name, until one
-// of that name can be decoded again.
+// recordReader decodes records of the cache. A record that cannot be decoded is logged once for its name, and again
+// only after one of that name could be decoded.
 type recordReader struct {
 	cache *records.Cache
 	log   *zap.Logger
@@ -24,8 +24,8 @@
 	return &recordReader{cache: cache, log: log, unreadable: map[string]struct{}{}}
 }
 
-// readRecord decodes the record of a name. It returns the zero value if there is none, or if it cannot be decoded:
-// the next generation replaces it.
+// readRecord decodes the record of a name. It returns the zero value if there is none or if it cannot be decoded; the
+// next generation then replaces it.
 func readRecord[T any](r *recordReader, name string) T {
 	var value T
 	record, ok := r.cache.Get(name)
@@ -33,12 +33,12 @@
 		return value
 	}
 	err := json.Unmarshal(record.Value, &value)
-	r.note(record, err)
+	r.logDecodeResult(record, err)
 	return value
 }
 
-// note logs the first of a row of failures to decode a name.
-func (r *recordReader) note(record records.Record, err error) {
+// logDecodeResult logs the first of several successive failures to decode the records of a name.
+func (r *recordReader) logDecodeResult(record records.Record, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
@@ -52,21 +52,22 @@
 	r.log.Warn("record cannot be read: all boxes need the same version", zap.String("record", record.Name), logfield.Error(err))
 }
 
-// decoded is a record's value at a generation.
-type decoded[T any] struct {
+// decodedRecord is the decoded value of one generation of a record.
+type decodedRecord[T any] struct {
 	generation records.Generation
 	value      T
 	ok         bool
 }
 
-// refresh returns the record of a name decoded, anew only if it changed or could not be decoded before.
-func (d decoded[T]) refresh(r *recordReader, name string) decoded[T] {
+// refresh returns the decoded record of a name. It decodes the record only if it has changed or could not be decoded
+// before.
+func (d decodedRecord[T]) refresh(r *recordReader, name string) decodedRecord[T] {
 	record, held := r.cache.Get(name)
 	if !held || (d.ok && d.generation == record.Generation) {
 		return d
 	}
 	var value T
 	err := json.Unmarshal(record.Value, &value)
-	r.note(record, err)
-	return decoded[T]{generation: record.Generation, value: value, ok: err == nil}
+	r.logDecodeResult(record, err)
+	return decodedRecord[T]{generation: record.Generation, value: value, ok: err == nil}
 }
--- a/internal/box/refusal_rules.go
+++ b/internal/box/refusal_rules.go
@@ -14,32 +14,32 @@
 	"ospreymoor.example/ospreymoor/pkg/claims"
 )
 
-// Reasons of a refusal beside those of admission; they label the metrics.
+// Reasons of a refusal besides those of pkg/admission. They label the metrics.
 const (
-	reasonBadRequest  = "bad request"
-	reasonToken       = "token"
-	reasonNotFound    = "not found"
-	reasonStarting    = "starting"
-	reasonNoUpstream  = "no upstream"
-	reasonUpstream    = "upstream failed"
-	reasonNotClaimed  = "not claimed"
-	reasonKey         = "request key"
-	reasonClaimedGone = "earlier attempt"
-	reasonBrokenOff   = "answer broke off"
-	reasonCallerLeft  = "caller left"
+	reasonBadRequest     = "bad request"
+	reasonToken          = "token"
+	reasonNotFound       = "not found"
+	reasonStarting       = "starting"
+	reasonNoUpstream     = "no upstream"
+	reasonUpstream       = "upstream failed"
+	reasonNotClaimed     = "not claimed"
+	reasonRequestKey     = "request key"
+	reasonEarlierAttempt = "earlier attempt"
+	reasonBrokenOff      = "answer broke off"
+	reasonCallerLeft     = "caller left"
 )
 
-// Remedies of more than one refusal.
+// Remedies that several refusals share.
 const (
 	remedyToken   = "send the header Authorization: Bearer TOKEN"
 	remedySameKey = "come back with the same request key"
 	remedyUnknown = "ask again with the same request key; do not send the request under another key"
 )
 
-// comeBack is when to come back if nothing better is known.
-const comeBack = time.Second
+// defaultRetryAfter is when a caller may try again if nothing better is known.
+const defaultRetryAfter = time.Second
 
-// notRun refuses a request that did not run and will not.
+// notRun returns the refusal of a request that did not run and will not.
 func notRun(code connect.Code, reason, remedy string, retryAfter time.Duration) *refusal {
 	return &refusal{
 		code:       code,
@@ -50,32 +50,32 @@
 	}
 }
 
-// unknown refuses a request that may have run, wholly or in part.
+// unknown returns the refusal of a request that may have run, wholly or in part.
 func unknown(reason, remedy string) *refusal {
 	return &refusal{
 		code:       connect.CodeUnknown,
 		outcome:    ospreymoorv1.Outcome_OUTCOME_UNKNOWN,
 		reason:     reason,
 		remedy:     remedy,
-		retryAfter: comeBack,
+		retryAfter: defaultRetryAfter,
 	}
 }
 
-// callersFault reports whether the burn report leaves a refusal out: the caller asked for something impossible, or
-// left.
-func (r *refusal) callersFault() bool {
+// isCallerError reports whether the refusal is due to the caller, which asked for something impossible or left. The
+// burn report leaves these out.
+func (r *refusal) isCallerError() bool {
 	switch r.reason {
-	case reasonBadRequest, reasonNotFound, reasonKey, reasonCallerLeft:
+	case reasonBadRequest, reasonNotFound, reasonRequestKey, reasonCallerLeft:
 		return true
 	}
 	return false
 }
 
-// unlessRetry turns 'not run' into unknown for what may be a retry of a request that may not be repeated, when it is
-// refused before its key was looked up: an earlier attempt may have run.
-func (r *refusal) unlessRetry(mayBeRetry bool) *refusal {
-	if !mayBeRetry || r.outcome != ospreymoorv1.Outcome_OUTCOME_NOT_RUN || r.reason == reasonKey {
-		return r // A key that cannot be used was never used before either.
+// unknownIfRetry turns the outcome 'not run' into 'unknown' if the request may be a retry of one that may not be
+// repeated. It is for refusals made before the request's key was looked up: an earlier attempt may have run.
+func (r *refusal) unknownIfRetry(mayBeRetry bool) *refusal {
+	if !mayBeRetry || r.outcome != ospreymoorv1.Outcome_OUTCOME_NOT_RUN || r.reason == reasonRequestKey {
+		return r // An unusable key cannot have been used by an earlier attempt either.
 	}
 	changed := *r
 	changed.outcome = ospreymoorv1.Outcome_OUTCOME_UNKNOWN
@@ -83,17 +83,17 @@
 	return &changed
 }
 
-// checkKey refuses a request key that no claim could hold.
-func checkKey(key string) *refusal {
+// checkRequestKey refuses a request key under which nothing can be claimed.
+func checkRequestKey(key string) *refusal {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
-		return notRun(connect.CodeInvalidArgument, reasonKey, "a request that may not be repeated needs a request key: a UUIDv7, kept across retries", 0)
+		return notRun(connect.CodeInvalidArgument, reasonRequestKey, "a request that may not be repeated needs a request key: a UUIDv7, kept across retries", 0)
 	}
 	return nil
 }
 
-// overloaded is admission's refusal as callers get it. The rule itself is in pkg/admission.
-func overloaded(r *admission.Refusal) *refusal {
+// overloadRefusal returns admission's refusal as callers get it. The rule is in pkg/admission.
+func overloadRefusal(r *admission.Refusal) *refusal {
 	remedy := "send it again then"
 	if r.Limit != "" {
 		remedy = "limit of " + r.Limit + ": " + remedy + ", or have it raised in the bundle"
@@ -101,37 +101,37 @@
 	return notRun(connect.CodeResourceExhausted, r.Reason, remedy, r.RetryAfter)
 }
 
-// exhausted is the refusal of a repeatable request after its last attempt.
-func exhausted(mayHaveRun bool) *refusal {
+// attemptsExhausted returns the refusal of a repeatable request after its last attempt.
+func attemptsExhausted(mayHaveRun bool) *refusal {
 	if mayHaveRun {
 		return unknown(reasonUpstream, "engines failed under the request: send it again")
 	}
-	return notRun(connect.CodeUnavailable, reasonUpstream, "no engine took the request", comeBack)
+	return notRun(connect.CodeUnavailable, reasonUpstream, "no engine took the request", defaultRetryAfter)
 }
 
-// notClaimed is the refusal of a request whose key cannot be claimed or looked up. If claims cannot be read, only the
-// caller's promise of a first attempt makes 'not run' true.
-func notClaimed(r onceRequest, err error) *refusal {
+// claimRefusal returns the refusal of a request whose key cannot be claimed or looked up. If claims cannot be read,
+// 'not run' is true only if the caller promised that this is the first attempt.
+func claimRefusal(r onceRequest, err error) *refusal {
 	for _, kind := range []error{claims.ErrBadKey, claims.ErrTooNew, claims.ErrFull} {
 		if errors.Is(err, kind) {
-			return notRun(connect.CodeInvalidArgument, reasonKey, kind.Error(), 0)
+			return notRun(connect.CodeInvalidArgument, reasonRequestKey, kind.Error(), 0)
 		}
 	}
 	switch {
 	case errors.Is(err, claims.ErrOtherRequest):
-		return notRun(connect.CodeAlreadyExists, reasonKey, claims.ErrOtherRequest.Error(), 0)
+		return notRun(connect.CodeAlreadyExists, reasonRequestKey, claims.ErrOtherRequest.Error(), 0)
 	case errors.Is(err, claims.ErrTooOld):
-		refused := unknown(reasonKey, claims.ErrTooOld.Error())
+		refused := unknown(reasonRequestKey, claims.ErrTooOld.Error())
 		refused.retryAfter = 0
 		return refused
 	case r.firstAttempt:
-		return notRun(connect.CodeUnavailable, reasonNotClaimed, remedySameKey, comeBack)
+		return notRun(connect.CodeUnavailable, reasonNotClaimed, remedySameKey, defaultRetryAfter)
 	default:
 		return unknown(reasonNotClaimed, fmt.Sprintf("claims can't be read, so an earlier attempt may have run: %s", remedySameKey))
 	}
 }
 
-// callerLeft is the refusal of a request whose caller has left.
+// callerLeft returns the refusal of a request whose caller has left.
 func callerLeft(ctx context.Context) *refusal {
 	why := "its connection broke"
 	if cause := context.Cause(ctx); cause != nil {
--- a/internal/box/request_counters.go
+++ b/internal/box/request_counters.go
@@ -10,64 +10,66 @@
 	"ospreymoor.example/ospreymoor/pkg/burn"
 )
 
-// requestCounters counts what became of callers' requests, in the metrics and for the burn report.
+// requestCounters counts how callers' requests ended, in the metrics and for the burn report.
 type requestCounters struct {
 	burn *burn.Recorder
 	set  *metrics.Set
 }
 
-// servedModel counts a whole answer of a model against the model's targets.
-func (c *requestCounters) servedModel(r *modelRequest, d *delivery) {
+// countModelAnswer counts a whole answer of a model, and whether it met the model's latency targets.
+func (c *requestCounters) countModelAnswer(r *modelRequest, d *delivery) {
 	result := burn.WithinTarget
-	if d.firstToken() > durationOf(r.model.FirstToken) || d.betweenTokens() > durationOf(r.model.BetweenTokens) {
+	if d.timeToFirstPiece() > durationOf(r.model.FirstToken) || d.meanPieceInterval() > durationOf(r.model.BetweenTokens) {
 		result = burn.Late
 	}
 	customer := r.caller.bundle.Customer
 	c.burn.Count(customer, r.model.Name, r.model.Objective, result, "")
 	labels := fmt.Sprintf("{customer=%q,model=%q}", customer, r.model.Name)
-	c.set.GetOrCreateHistogram("ospreymoor_first_token_seconds" + labels).Update(d.firstToken().Seconds())
-	c.set.GetOrCreateHistogram("ospreymoor_between_tokens_seconds" + labels).Update(d.betweenTokens().Seconds())
+	c.set.GetOrCreateHistogram("ospreymoor_first_token_seconds" + labels).Update(d.timeToFirstPiece().Seconds())
+	c.set.GetOrCreateHistogram("ospreymoor_between_tokens_seconds" + labels).Update(d.meanPieceInterval().Seconds())
 	c.set.GetOrCreateCounter("ospreymoor_served_total" + labels).Inc()
-	c.set.GetOrCreateCounter("ospreymoor_pieces_total" + labels).Add(int(d.next))
+	c.set.GetOrCreateCounter("ospreymoor_pieces_total" + labels).Add(int(d.nextIndex))
 }
 
-// servedCall counts a whole answer of a plain service; calls have no targets but their timeout.
-func (c *requestCounters) servedCall(call *serviceCall) {
+// countServiceAnswer counts a whole answer of a plain service. These have no latency target besides their timeout.
+func (c *requestCounters) countServiceAnswer(call *serviceCall) {
 	c.burn.Count(call.caller.bundle.Customer, call.service.Name, bundle.DefaultObjective, burn.WithinTarget, "")
 }
 
-// refusedModel counts a request on a model without a whole answer; r is nil if the caller is not known.
-func (c *requestCounters) refusedModel(r *modelRequest, refused *refusal) {
+// countModelRefusal counts a request on a model that got no whole answer. r is nil if the caller is not known.
+func (c *requestCounters) countModelRefusal(r *modelRequest, refused *refusal) {
 	if r == nil {
-		c.refused("", refused)
+		c.countRefusalMetric("", refused)
 		return
 	}
-	c.withoutAnswer(r.caller.bundle.Customer, r.model.Name, r.model.Objective, refused)
+	c.countRefusal(r.caller.bundle.Customer, r.model.Name, r.model.Objective, refused)
 }
 
-// refusedCall counts a call without a whole answer; call is nil if the caller is not known.
-func (c *requestCounters) refusedCall(call *serviceCall, refused *refusal) {
+// countServiceRefusal counts a call of a plain service that got no whole answer. call is nil if the caller is not
+// known.
+func (c *requestCounters) countServiceRefusal(call *serviceCall, refused *refusal) {
 	if call == nil {
-		c.refused("", refused)
+		c.countRefusalMetric("", refused)
 		return
 	}
-	c.withoutAnswer(call.caller.bundle.Customer, call.service.Name, bundle.DefaultObjective, refused)
+	c.countRefusal(call.caller.bundle.Customer, call.service.Name, bundle.DefaultObjective, refused)
 }
 
-// withoutAnswer counts a request of a known caller; for the burn report only if it was not the caller's own fault.
-func (c *requestCounters) withoutAnswer(customer, name string, objective float64, refused *refusal) {
+// countRefusal counts a refused request of a known caller. The burn report counts it only if the caller did not cause
+// it.
+func (c *requestCounters) countRefusal(customer, name string, objective float64, refused *refusal) {
 	result := burn.Refused
 	if refused.outcome == ospreymoorv1.Outcome_OUTCOME_UNKNOWN {
 		result = burn.Failed
 	}
-	if !refused.callersFault() {
+	if !refused.isCallerError() {
 		c.burn.Count(customer, name, objective, result, refused.reason)
 	}
-	c.refused(customer, refused)
+	c.countRefusalMetric(customer, refused)
 }
 
-// refused counts a refusal in the metrics.
-func (c *requestCounters) refused(customer string, refused *refusal) {
+// countRefusalMetric counts a refusal in the metrics.
+func (c *requestCounters) countRefusalMetric(customer string, refused *refusal) {
 	outcome := "not run"
 	if refused.outcome == ospreymoorv1.Outcome_OUTCOME_UNKNOWN {
 		outcome = "unknown"
--- a/internal/box/requests.go
+++ b/internal/box/requests.go
@@ -10,7 +10,7 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// requests are the parts that serve callers and operators.
+// requests holds the parts that serve callers and operators.
 type requests struct {
 	admission *admission.Controller
 	demand    *demand
@@ -22,7 +22,7 @@
 	operators *operatorServer
 }
 
-func newRequests(config Config, self *self, l *links, k *knowledge, set *metrics.Set) *requests {
+func newRequests(config Config, self *self, l *connections, k *knowledge, set *metrics.Set) *requests {
 	r := &requests{admission: admission.New(k.view.FleetSize), demand: newDemand()}
 	r.burn = &burnReports{
 		self:     self,
@@ -41,14 +41,14 @@
 		set:      set,
 	}
 	// Models and plain services share the box's retry budget.
-	retries := routing.NewRetryBudget(retryShare)
+	retries := routing.NewRetryBudget(retryBudgetRatio)
 	r.models = r.newModelServer(l, k, retries, set)
 	r.services = r.newServiceProxy(config.Requests.MaxBody, l, k, retries)
 	r.operators = r.newOperatorServer(config, l, k, set)
 	return r
 }
 
-func (r *requests) newModelServer(l *links, k *knowledge, retries *routing.RetryBudget, set *metrics.Set) *modelServer {
+func (r *requests) newModelServer(l *connections, k *knowledge, retries *routing.RetryBudget, set *metrics.Set) *modelServer {
 	return &modelServer{
 		inForce:   k.inForce,
 		fleet:     k.fleet,
@@ -63,29 +63,29 @@
 			router:        k.router,
 			engines:       l.engines,
 			set:           set,
-			heartbeatSoon: k.heartbeats.soon,
+			heartbeatSoon: k.heartbeats.sendSoon,
 		},
 		claimed:  r.claimed,
 		counters: r.counters,
 	}
 }
 
-func (r *requests) newServiceProxy(maxBody int64, l *links, k *knowledge, retries *routing.RetryBudget) *serviceProxy {
+func (r *requests) newServiceProxy(maxBody int64, l *connections, k *knowledge, retries *routing.RetryBudget) *serviceProxy {
 	return &serviceProxy{
-		inForce:    k.inForce,
-		fleet:      k.fleet,
-		router:     k.router,
-		admission:  r.admission,
-		retries:    retries,
-		claimed:    r.claimed,
-		counters:   r.counters,
-		repeatable: l.plain,
-		once:       l.plainOnce,
-		maxBody:    maxBody,
+		inForce:          k.inForce,
+		fleet:            k.fleet,
+		router:           k.router,
+		admission:        r.admission,
+		retries:          retries,
+		claimed:          r.claimed,
+		counters:         r.counters,
+		repeatableClient: l.serviceClient,
+		onceClient:       l.serviceOnceClient,
+		maxBodyBytes:     maxBody,
 	}
 }
 
-func (r *requests) newOperatorServer(config Config, l *links, k *knowledge, set *metrics.Set) *operatorServer {
+func (r *requests) newOperatorServer(config Config, l *connections, k *knowledge, set *metrics.Set) *operatorServer {
 	fits := func(current, next []*bundle.Bundle) error {
 		return k.fleet.fits(current, next, config.Control.Placement)
 	}
--- a/internal/box/retry.go
+++ b/internal/box/retry.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// retryShare is the share of requests that may be sent to a second upstream. Held by overload_test.go.
-	retryShare = 0.1
-	// maxAttempts bounds the upstreams that one repeatable request is sent to.
+	// retryBudgetRatio is the share of requests that may be sent to another upstream. overload_test.go checks it.
+	retryBudgetRatio = 0.1
+	// maxAttempts bounds how many upstreams one repeatable request is sent to.
 	maxAttempts = 3
-	// avoidTime is how long an upstream that failed gets nothing if others can take requests.
-	avoidTime = 5 * time.Second
+	// avoidDuration is how long an upstream that failed gets nothing as long as others can take requests.
+	avoidDuration = 5 * time.Second
 )
 
-// mayTryAnother is the rule for sending a repeatable request to another upstream after a failed attempt: up to
-// maxAttempts, and from the box's retry budget. costless is set if the upstream confirmed that it did no work for
-// the request: then another attempt adds no load, and takes nothing from the budget.
+// mayTryAnother reports whether a repeatable request may be sent to another upstream after a failed attempt. There
+// are up to maxAttempts, and each retry takes from the box's retry budget. costless is set if the upstream
+// confirmed that it did no work for the request: another attempt then adds no load and takes nothing from the
+// budget.
 func mayTryAnother(attempt int, costless bool, budget *routing.RetryBudget) bool {
 	return attempt < maxAttempts && (costless || budget.Retry())
 }
--- a/internal/box/run_once.go
+++ b/internal/box/run_once.go
@@ -9,53 +9,53 @@
 	"ospreymoor.example/ospreymoor/pkg/claims"
 )
 
-// maxClaims bounds how often one request claims its key anew after a run under it never began.
+// maxClaims bounds how often one request claims its key. It claims the key again after a run under it never began.
 const maxClaims = 3
 
-// onceRun is the one path of requests that may run at most once: the key is claimed with the upstream before
-// anything is sent, a claimed run is sent once at most, and later attempts join the run that stands under the key.
-// The functions are the steps that differ between models (model_once.go) and plain services (service_once.go).
+// onceRun runs requests that may run at most once. The key is claimed together with the upstream before anything is
+// sent, a claimed run is sent at most once, and later attempts join the run that was claimed under the key. The
+// functions are the steps that differ between models (model_once.go) and plain services (service_once.go).
 type onceRun struct {
 	request onceRequest
 	claimed *claimedRuns
-	// choose picks and admits an upstream.
+	// choose picks an upstream and admits the request there.
 	choose func() (claimedUpstream, *refusal)
-	// send sends a run that is claimed to the upstream chosen last, and settles its outcome.
-	send func(ctx context.Context, own claims.Claim) (again bool, refused *refusal)
-	// join hands on the answer of a run that an earlier attempt claimed. For both, again means that no run stands
-	// under the key and none will: it may be claimed anew.
-	join func(ctx context.Context, claim claims.Claim) (again bool, refused *refusal)
+	// send sends a claimed run to the upstream chosen last, and records its outcome.
+	send func(ctx context.Context, own claims.Claim) (reclaim bool, refused *refusal)
+	// join passes on the answer of a run that an earlier attempt claimed. For both send and join, reclaim means
+	// that no run exists under the key and none will, so the key may be claimed again.
+	join func(ctx context.Context, claim claims.Claim) (reclaim bool, refused *refusal)
 }
 
 // claimedUpstream is the upstream that a run is claimed for.
 type claimedUpstream struct {
 	id string
-	// incarnation of an engine; empty for a plain service.
+	// incarnation is that of an engine; it is empty for a plain service.
 	incarnation string
-	// done ends the run's admission; nil if the caller ends it.
+	// done ends the run's admission. It is nil if the user of onceRun ends it itself.
 	done func()
 }
 
-// serve runs the request, or goes on with the run of an earlier attempt.
+// serve runs the request, or joins the run of an earlier attempt.
 func (r *onceRun) serve(ctx context.Context) *refusal {
 	for range maxClaims {
 		upstream, refused := r.choose()
 		if refused != nil {
 			return r.joinOrRefuse(ctx, refused)
 		}
-		again, refused := r.claimAndSend(ctx, upstream)
+		reclaim, refused := r.claimAndSend(ctx, upstream)
 		if upstream.done != nil {
 			upstream.done()
 		}
-		if !again {
+		if !reclaim {
 			return refused
 		}
 	}
-	return notRun(connect.CodeUnavailable, reasonNotClaimed, remedySameKey, comeBack)
+	return notRun(connect.CodeUnavailable, reasonNotClaimed, remedySameKey, defaultRetryAfter)
 }
 
-// claimAndSend claims the key and sends the run, or joins the run that stands under the key.
-func (r *onceRun) claimAndSend(ctx context.Context, upstream claimedUpstream) (again bool, refused *refusal) {
+// claimAndSend claims the key and sends the run, or joins the run that is already claimed under the key.
+func (r *onceRun) claimAndSend(ctx context.Context, upstream claimedUpstream) (reclaim bool, refused *refusal) {
 	own := claims.Claim{
 		Digest:      r.request.digest,
 		Upstream:    upstream.id,
@@ -76,8 +76,8 @@
 	return r.send(ctx, own)
 }
 
-// joinOrRefuse answers a request that cannot be admitted. An earlier attempt may have run, so the claim under the key
-// is looked up first: a run there is joined, and only without one is the request refused.
+// joinOrRefuse answers a request that cannot be admitted. An earlier attempt may have run, so the claim under the
+// key is looked up first. If there is one, its run is joined; if not, the request is refused.
 func (r *onceRun) joinOrRefuse(ctx context.Context, refused *refusal) *refusal {
 	claim, found, unread := r.claimed.lookUp(ctx, r.request)
 	if unread != nil {
@@ -86,8 +86,8 @@
 	if !found {
 		return refused
 	}
-	again, joined := r.join(ctx, claim)
-	if again {
+	reclaim, joined := r.join(ctx, claim)
+	if reclaim {
 		return refused
 	}
 	return joined
--- a/internal/box/sent_table.go
+++ b/internal/box/sent_table.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// sentTable owns how many requests peers have sent to each engine since its last report.
+// sentTable counts the requests that peers have sent to each engine since its last report.
 type sentTable struct {
 	mu sync.Mutex
-	// last holds the latest totals of each peer's incarnation.
+	// last holds the latest totals of each incarnation of a peer.
 	last map[string]map[string]int64
-	// total is what was seen sent to each engine; atReport is total at the engine's last report.
+	// total is how many requests peers have sent to each engine. atReport is the total at the engine's last report.
 	total    map[string]int64
 	atReport map[string]int64
 }
@@ -16,9 +16,9 @@
 	return &sentTable{last: map[string]map[string]int64{}, total: map[string]int64{}, atReport: map[string]int64{}}
 }
 
-// take takes a peer's totals in; unchanged ones may be left out. The first totals of an incarnation are only its
-// base: what it sent before is taken to be in the engines' reports.
-func (t *sentTable) take(incarnation string, sent map[string]int64) {
+// update applies a peer's totals, which may leave out unchanged ones. The first totals of an incarnation are only a
+// baseline: what it sent before is taken to be covered by the engines' reports.
+func (t *sentTable) update(incarnation string, sent map[string]int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last, known := t.last[incarnation]
@@ -34,21 +34,21 @@
 	}
 }
 
-// reported notes that a new report covers all that was sent to an engine so far.
-func (t *sentTable) reported(id string) {
+// markReported records that a new report covers all requests sent to an engine so far.
+func (t *sentTable) markReported(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.atReport[id] = t.total[id]
 }
 
-// sinceReport is how many requests peers sent to an engine since its last report.
+// sinceReport returns how many requests peers have sent to an engine since its last report.
 func (t *sentTable) sinceReport(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return int(t.total[id] - t.atReport[id])
 }
 
-// forget drops incarnations of boxes that are gone.
+// forget drops the totals of all incarnations but those in keep.
 func (t *sentTable) forget(keep map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/box/service_call.go
+++ b/internal/box/service_call.go
@@ -10,14 +10,14 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// Headers of calls that may not be repeated.
+// Headers that callers send with calls that may not be repeated.
 const (
 	headerRequestKey   = "Request-Key"
 	headerFirstAttempt = "Request-First-Attempt"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders concern one connection only and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -27,13 +27,13 @@
 	caller  caller
 	service bundle.Service
 	path    string
-	// key is customer/service.
-	key     string
-	request *http.Request
-	body    []byte
+	// fullName is customer/service.
+	fullName string
+	request  *http.Request
+	body     []byte
 }
 
-// notRepeatable reports whether the bundle lists the call as one that may run at most once.
+// notRepeatable reports whether the bundle lists the call among those that may run at most once.
 func (c *serviceCall) notRepeatable() bool {
 	for _, listed := range c.service.NotRepeatable {
 		if strings.EqualFold(listed.Method, c.request.Method) && strings.HasPrefix(c.path, listed.Path) {
@@ -43,8 +43,8 @@
 	return false
 }
 
-// once is the call as its claim knows it.
-func (c *serviceCall) once() onceRequest {
+// onceRequest returns what the claim of the call needs to know.
+func (c *serviceCall) onceRequest() onceRequest {
 	return onceRequest{
 		customer:     c.caller.bundle.Customer,
 		key:          c.request.Header.Get(headerRequestKey),
@@ -53,7 +53,7 @@
 	}
 }
 
-// digest of what the call asks for.
+// digest returns the digest of what the call asks for.
 func (c *serviceCall) digest() string {
 	sum := sha256.New()
 	for _, part := range []string{c.request.Method, c.service.Name, c.path, c.request.URL.RawQuery} {
@@ -63,18 +63,18 @@
 	return hex.EncodeToString(sum.Sum(nil)[:digestBytes])
 }
 
-// isFirstAttempt reports whether the caller promises that no earlier attempt was sent.
+// isFirstAttempt reports whether the caller promises that it sent no earlier attempt.
 func isFirstAttempt(header http.Header) bool { return header.Get(headerFirstAttempt) == "true" }
 
-// passedOn is a header without what concerns one connection only.
-func passedOn(header http.Header) http.Header {
+// endToEndHeaders returns a copy of header without the hop-by-hop headers.
+func endToEndHeaders(header http.Header) http.Header {
 	passed := header.Clone()
 	for _, listed := range header.Values("Connection") {
 		for _, name := range strings.Split(listed, ",") {
 			passed.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		passed.Del(name)
 	}
 	return passed
--- a/internal/box/service_proxy.go
+++ b/internal/box/service_proxy.go
@@ -15,10 +15,10 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// serviceSlots is how many calls a plain service is taken to serve at once.
+// serviceSlots is how many calls a plain service is assumed to serve at once.
 const serviceSlots = 64
 
-// serviceProxy forwards callers' calls to plain services, over HTTP.
+// serviceProxy forwards callers' calls to plain services over HTTP.
 type serviceProxy struct {
 	inForce   *bundlesInForce
 	fleet     *fleetState
@@ -27,11 +27,12 @@
 	retries   *routing.RetryBudget
 	claimed   *claimedRuns
 	counters  *requestCounters
-	// repeatable makes calls that may be repeated; once those that may not, each on a connection of its own.
-	repeatable *http.Client
-	once       *http.Client
-	// maxBody bounds a call's body in bytes.
-	maxBody int64
+	// repeatableClient makes the calls that may be repeated. onceClient makes those that may not be, each on a
+	// connection of its own.
+	repeatableClient *http.Client
+	onceClient       *http.Client
+	// maxBodyBytes bounds a call's body in bytes.
+	maxBodyBytes int64
 }
 
 // ServeHTTP forwards /services/{service}/{path...}.
@@ -39,7 +40,7 @@
 	c, refused := s.resolve(w, r)
 	if refused != nil {
 		mayBeRetry := r.Header.Get(headerRequestKey) != "" && !isFirstAttempt(r.Header)
-		s.refuse(w, c, refused.unlessRetry(mayBeRetry))
+		s.refuse(w, c, refused.unknownIfRetry(mayBeRetry))
 		return
 	}
 	done, refused := s.admit(c)
@@ -59,8 +60,8 @@
 	s.serveRepeatable(w, c)
 }
 
-// resolve finds the caller's customer and the service in the bundle in force, and reads the body. A refusal comes
-// with the call as far as it is known.
+// resolve finds the caller's customer and the service in the bundle in force, and reads the body. With a refusal it
+// returns what is known of the call so far, or nil if the caller is not known.
 func (s *serviceProxy) resolve(w http.ResponseWriter, r *http.Request) (*serviceCall, *refusal) {
 	who, refused := s.inForce.authenticate(r.Header)
 	if refused != nil {
@@ -71,59 +72,59 @@
 		return nil, notRun(connect.CodeNotFound, reasonNotFound, "no such service in the bundle in force; see bundle list", 0)
 	}
 	c := &serviceCall{
-		caller:  who,
-		service: service,
-		path:    "/" + r.PathValue("path"),
-		key:     who.bundle.Customer + "/" + service.Name,
-		request: r,
+		caller:   who,
+		service:  service,
+		path:     "/" + r.PathValue("path"),
+		fullName: who.bundle.Customer + "/" + service.Name,
+		request:  r,
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.maxBodyBytes))
 	if err != nil {
 		return c, notRun(connect.CodeInvalidArgument, reasonBadRequest, "the body could not be read whole: "+err.Error(), 0)
 	}
 	c.body = body
 	if c.notRepeatable() {
-		if refused := checkKey(r.Header.Get(headerRequestKey)); refused != nil {
+		if refused := checkRequestKey(r.Header.Get(headerRequestKey)); refused != nil {
 			return c, refused
 		}
 	}
 	return c, nil
 }
 
-// admit admits a call, or refuses it as overload; pkg/admission has the rule. Plain services report no load, so only
-// the bundle's limits bind. The caller calls done when the call has ended.
+// admit admits a call, or refuses it as overload. The rule is in pkg/admission. Plain services report no load, so
+// only the bundle's limits apply. The caller must call done when the call has ended.
 func (s *serviceProxy) admit(c *serviceCall) (done func(), refused *refusal) {
 	text := c.caller.bundle
 	done, overload := s.admission.Admit(admission.Request{
 		Customer: text.Customer,
 		Weight:   text.Limits.Weight,
-		Limits:   []admission.Limit{limit(text.Customer, text.Limits), limit(c.key, c.service.Limits)},
+		Limits:   []admission.Limit{limit(text.Customer, text.Limits), limit(c.fullName, c.service.Limits)},
 		Target:   durationOf(c.service.Timeout),
 	})
 	if overload != nil {
-		return nil, overloaded(overload)
+		return nil, overloadRefusal(overload)
 	}
 	return done, nil
 }
 
-// choose picks an upstream of the service's pool, one of this hall if there is any; pkg/routing has the rule.
+// choose picks an upstream of the service's pool, preferring this hall. The rule is in pkg/routing.
 func (s *serviceProxy) choose(c *serviceCall) (membership.Box, *refusal) {
 	list, byID := s.fleet.serviceCandidates(c.service.Pool)
-	picked, err := s.router.Pick(c.key, "", list)
+	picked, err := s.router.Pick(c.fullName, "", list)
 	if err != nil {
-		return membership.Box{}, notRun(connect.CodeUnavailable, reasonNoUpstream, "no upstream runs the service at the moment", comeBack)
+		return membership.Box{}, notRun(connect.CodeUnavailable, reasonNoUpstream, "no upstream runs the service at the moment", defaultRetryAfter)
 	}
 	return byID[picked.ID], nil
 }
 
-// send sends a call to an upstream and returns the head of its answer.
+// send sends a call to an upstream and returns the response, whose body has yet to be read.
 func (s *serviceProxy) send(ctx context.Context, client *http.Client, c *serviceCall, upstream membership.Box) (*http.Response, error) {
 	target := url.URL{Scheme: "http", Host: upstream.Address, Path: c.path, RawQuery: c.request.URL.RawQuery}
 	request, err := http.NewRequestWithContext(ctx, c.request.Method, target.String(), bytes.NewReader(c.body))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	request.Header = passedOn(c.request.Header)
+	request.Header = endToEndHeaders(c.request.Header)
 	request.Header.Del("Authorization")
 	request.Header.Set("Customer", c.caller.bundle.Customer)
 	return client.Do(request)
@@ -131,6 +132,6 @@
 
 // refuse counts a refusal and answers the caller with it.
 func (s *serviceProxy) refuse(w http.ResponseWriter, c *serviceCall, refused *refusal) {
-	s.counters.refusedCall(c, refused)
+	s.counters.countServiceRefusal(c, refused)
 	refused.write(w)
 }
--- a/internal/box/store_follower.go
+++ b/internal/box/store_follower.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// storeRetry is the pause after a watch ended or could not be made.
-	storeRetry = time.Second
-	// pollInterval is how often a box that does not watch the store reads it itself.
+	// storeRetryDelay is the pause after a read of the store has failed or a watch has ended, and between two
+	// checks whether this box should watch.
+	storeRetryDelay = time.Second
+	// pollInterval is how often a box that does not watch the store reads it.
 	pollInterval = 30 * time.Second
 )
 
-// storeFollower keeps the records of the key-value service in the cache: by a watch if this box is one of its hall's
-// watchers, else by a slow poll beside what heartbeats bring. Failures are counted and logged where the store is
-// observed (links.go), so none is logged here.
+// storeFollower keeps the records of the key-value service in the cache. If this box is one of its hall's watchers,
+// it watches the store; otherwise it polls at a long interval, in addition to what heartbeats bring. Failures are
+// counted and logged by the wrapped store (links.go), so none is logged here.
 type storeFollower struct {
 	store   kv.Store
 	cache   *records.Cache
@@ -30,7 +31,7 @@
 	for ctx.Err() == nil {
 		from, err := s.read(ctx)
 		if err != nil {
-			pause(ctx, jitter(storeRetry))
+			pause(ctx, jitter(storeRetryDelay))
 			continue
 		}
 		if !s.members.selfWatchesStore() {
@@ -38,11 +39,11 @@
 			continue
 		}
 		s.watch(ctx, from+1)
-		pause(ctx, jitter(storeRetry))
+		pause(ctx, jitter(storeRetryDelay))
 	}
 }
 
-// read reads all shared records, and returns the highest revision among them.
+// read puts all shared records into the cache and returns the highest revision among them.
 func (s *storeFollower) read(ctx context.Context) (int64, error) {
 	list, err := s.store.List(ctx, storePrefix)
 	if err != nil {
@@ -51,13 +52,13 @@
 	var highest int64
 	for _, record := range list {
 		highest = max(highest, record.Revision)
-		s.take(record)
+		s.cacheRecord(record)
 	}
-	s.inForce.adoptNothing()
+	s.inForce.adoptEmptyTable()
 	return highest, nil
 }
 
-// watch takes changes in until the watch ends or another box should watch instead.
+// watch applies changes until the watch ends or other boxes are to watch instead.
 func (s *storeFollower) watch(ctx context.Context, from int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -73,7 +74,7 @@
 			if !ok {
 				return
 			}
-			s.takeEvents(batch)
+			s.applyEvents(batch)
 		case <-check.C:
 			if !s.members.selfWatchesStore() {
 				return
@@ -82,17 +83,17 @@
 	}
 }
 
-// takeEvents takes a batch of changes in. Shared records are never deleted, so a deletion changes nothing.
-func (s *storeFollower) takeEvents(batch []kv.Event) {
+// applyEvents applies a batch of changes. Shared records are never deleted, so deletions are ignored.
+func (s *storeFollower) applyEvents(batch []kv.Event) {
 	for _, event := range batch {
 		if !event.Deleted {
-			s.take(event.Record)
+			s.cacheRecord(event.Record)
 		}
 	}
 }
 
-// take puts a record of the store into the cache; its revision is its generation.
-func (s *storeFollower) take(record kv.Record) {
+// cacheRecord puts a record of the store into the cache. Its revision is its generation.
+func (s *storeFollower) cacheRecord(record kv.Record) {
 	s.cache.Put(records.Record{
 		Name:       record.Key,
 		Generation: records.Generation{Term: record.Revision},
@@ -100,10 +101,10 @@
 	})
 }
 
-// waitForTurn pauses a box that does not watch, until its next poll or until it should watch.
+// waitForTurn waits until the next poll of a box that does not watch, or until the box should watch.
 func (s *storeFollower) waitForTurn(ctx context.Context) {
 	end := time.Now().Add(jitter(pollInterval))
-	for time.Now().Before(end) && pause(ctx, storeRetry) {
+	for time.Now().Before(end) && pause(ctx, storeRetryDelay) {
 		if s.members.selfWatchesStore() {
 			return
 		}
--- a/internal/box/tidier.go
+++ b/internal/box/tidier.go
@@ -6,8 +6,8 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// tidier drops what boxes, engines and bundles that are gone have left in the other parts.
-type tidier struct {
+// staleStateCleaner drops the state of boxes, engines and bundles that are gone from the other parts.
+type staleStateCleaner struct {
 	members *members
 	fleet   *fleetState
 	engines *engineClients
@@ -16,8 +16,9 @@
 	cache   *records.Cache
 }
 
-// forgetGone drops what belongs to nothing that is live, listed or in force.
-func (t *tidier) forgetGone() {
+// removeStale drops the state of all boxes that are not live, upstreams that are not listed and bundles that are
+// not in force.
+func (t *staleStateCleaner) removeStale() {
 	incarnations := map[string]bool{}
 	for _, p := range t.members.view.Live() {
 		incarnations[p.Incarnation] = true
@@ -25,7 +26,7 @@
 	t.fleet.sent.forget(incarnations)
 	snapshot := t.fleet.snapshot.Load()
 	t.engines.forget(snapshot.engines)
-	t.router.Forget(snapshot.lists)
+	t.router.Forget(snapshot.hasUpstream)
 	table := t.inForce.current.Load()
 	if table == nil {
 		return
--- a/internal/box/transports.go
+++ b/internal/box/transports.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// dialTime bounds the making of one connection.
-	dialTime = time.Second
-	// idleTime is how long an idle connection stays open.
-	idleTime = 2 * time.Minute
+	// dialTimeout bounds the opening of one connection.
+	dialTimeout = time.Second
+	// idleConnTimeout is how long an idle connection stays open.
+	idleConnTimeout = 2 * time.Minute
 )
 
-// dialFunc makes a connection.
+// dialFunc opens a connection.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// plainTransport is the transport to plain HTTP servers.
-func plainTransport(dial dialFunc) *http.Transport {
+// httpTransport returns the transport for calls of plain HTTP servers.
+func httpTransport(dial dialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: serviceSlots,
-		IdleConnTimeout:     idleTime,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 }
 
-// onceTransport gives each call a connection of its own, because a transport may send a call again when it finds the
-// connection that it kept to be stale.
+// onceTransport returns a transport that uses a new connection for each call. A transport that keeps connections may
+// send a call a second time if it finds a kept connection to be stale.
 func onceTransport(dial dialFunc) *http.Transport {
-	transport := plainTransport(dial)
+	transport := httpTransport(dial)
 	transport.DisableKeepAlives = true
 	return transport
 }
 
-// noRedirect hands redirects to the caller instead of following them.
+// noRedirect passes redirects on to the caller instead of following them.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/box/wanted_units.go
+++ b/internal/box/wanted_units.go
@@ -5,8 +5,8 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// wantedUnits lists what bundles ask engines to hold, with the demand for each model: requests at the same time in
-// the mean, by customer/model.
+// wantedUnits lists what the bundles ask engines to hold. demand is the mean number of concurrent requests, by
+// customer/model.
 func wantedUnits(bundles map[string]*bundle.Bundle, demand map[string]float64) []placement.Unit {
 	var all []placement.Unit
 	for customer, text := range bundles {
@@ -17,7 +17,7 @@
 	return all
 }
 
-// modelUnit is a model with all of its adapters.
+// modelUnit returns the unit of a model with all of its adapters.
 func modelUnit(customer string, text *bundle.Bundle, model bundle.Model, demand map[string]float64) placement.Unit {
 	key := customer + "/" + model.Name
 	item := placement.Item{Name: bundle.ModelItem(customer, model), Bytes: int64(model.Memory)}
@@ -34,8 +34,8 @@
 	return unit
 }
 
-// fits checks a roll: all models of next beside all of current, on the engines now known. The larger unit of an
-// item counts. The error is placement.ErrNoRoom with the figures.
+// fits checks whether the engines now known have room for a roll: all models of next beside all of current. Of two
+// units with the same item, the larger one counts. The error is placement.ErrNoRoom with the figures.
 func (s *fleetState) fits(current, next []*bundle.Bundle, settings placement.Settings) error {
 	wanted := map[string]placement.Unit{}
 	for _, set := range [][]*bundle.Bundle{current, next} {
@@ -54,7 +54,8 @@
 	return placement.Fits(in)
 }
 
-// placementEngines describes the engines to the planner. What an engine reports bounds what the box list promises.
+// placementEngines describes the engines to the planner. The memory that an engine reports limits what the box list
+// states, and its reported slots replace the listed ones.
 func (s *fleetState) placementEngines() []placement.Engine {
 	f := s.snapshot.Load()
 	engines := make([]placement.Engine, 0, len(f.engines))
@@ -71,7 +72,7 @@
 		switch {
 		case s.leaving(state):
 			e.Condition = placement.Leaving
-		case !s.loads.reporting(id):
+		case !s.loads.hasRecentReport(id):
 			e.Condition = placement.Unresponsive
 		}
 		if state.reported {
--- a/internal/box/weight_table.go
+++ b/internal/box/weight_table.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// weightTable owns which weights this box last used for each model, so that it never goes back to older ones.
+// weightTable records which weights this box last used for each model, so that it never goes back to older ones.
 type weightTable struct {
 	mu   sync.Mutex
 	used map[string]string
@@ -10,8 +10,9 @@
 
 func newWeightTable() *weightTable { return &weightTable{used: map[string]string{}} }
 
-// choose returns the item that answers for a model: the first that an engine holds of the plan's, the one used last,
-// and wanted, the one of the bundle in force. The plan may be ahead of the reports of what engines hold, or behind.
+// choose returns the item to serve a model with. It is the first that some engine holds of these: the one in the
+// plan, the one used last, and wanted, which is the one in the bundle in force. The plan may be ahead of the
+// reports of what engines hold, or behind them.
 func (t *weightTable) choose(f *fleetSnapshot, model, wanted string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
