--- a/internal/box/body_deadline_test.go
+++ b/internal/box/body_deadline_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("A caller that sends its body by the byte", func() {
-	It("is answered in time, and takes nothing from others", func() {
+var _ = Describe("A caller that sends its body byte by byte", func() {
+	It("is refused once the time for its body is over, while others are served", func() {
 		withFleet(fleetSpec{halls: 1, boxes: 1, engines: 1, memory: 64 * gib}, func(t *testFleet) {
 			b := t.boxes["h1-b1"]
 			t.roll(b, bundleText(1, "a", "10GiB", "writer"))
--- a/internal/box/bundle_text_test.go
+++ b/internal/box/bundle_text_test.go
@@ -8,7 +8,7 @@
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
 )
 
-// bundleText is a bundle of acme with models of so much memory.
+// bundleText returns a bundle of the customer acme in YAML. Each model has the given weights and memory.
 func bundleText(version int, weights, memory string, models ...string) string {
 	sum := sha256.Sum256([]byte(callerToken))
 	var text strings.Builder
@@ -20,13 +20,13 @@
 	return text.String()
 }
 
-// joinModels puts the models of a second text behind those of the first.
+// joinModels inserts the models of the bundle other, from the one named "other" on, after those of text.
 func joinModels(text, other string) string {
 	models := other[strings.Index(other, "  - name: other"):strings.Index(other, "services:")]
 	at := strings.Index(text, "services:")
 	return text[:at] + models + text[at:]
 }
 
-func signOff(text string) *ospreymoorv1.SignOffBundleRequest {
+func signOffRequest(text string) *ospreymoorv1.SignOffBundleRequest {
 	return &ospreymoorv1.SignOffBundleRequest{Yaml: text}
 }
--- a/internal/box/bundles_in_force_test.go
+++ b/internal/box/bundles_in_force_test.go
@@ -18,10 +18,10 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// inForceLimit is the time within which a change must be in force everywhere.
+// inForceLimit is the time within which a change must be in force on every box.
 const inForceLimit = 7 * time.Second
 
-// rollModel is the table in force for one customer: versions only grow.
+// rollModel is the sequential model of one customer's table in force: versions only increase.
 var rollModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
@@ -46,7 +46,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// rollOnce rolls a version at a box and sorts what came of it.
+// rollOnce rolls a version at a box and classifies the result.
 func rollOnce(t *testFleet, b *testBox, version uint64) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -62,7 +62,7 @@
 	}
 }
 
-// generations samples each box's generation until ctx ends and reports any that went back.
+// watchGenerations samples each box's generation until ctx ends and returns every decrease that it saw.
 func watchGenerations(ctx context.Context, t *testFleet, boxes *boxPicker) (back []string) {
 	highest := map[string]int64{}
 	for pause(ctx, 50*time.Millisecond) {
@@ -82,8 +82,8 @@
 	return back
 }
 
-// settled returns an error unless every box serves the generation that the store holds.
-func settled(t *testFleet) error {
+// checkGenerations returns an error unless every box serves the generation that the store has.
+func checkGenerations(t *testFleet) error {
 	record, err := t.platform.Memory.Store().Get(context.Background(), "fleet/inforce")
 	if err != nil {
 		return err
@@ -97,16 +97,16 @@
 }
 
 var _ = Describe("Bundles in force", func() {
-	It("are linearizable and never revert while operators race and everything fails", func() {
+	It("are linearizable and never revert while operators race and faults are injected", func() {
 		for seed := range uint64(5) {
-			spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 64 * gib, fault: lossyPlatform(seed)}
+			spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 64 * gib, platformFault: lossyPlatform(seed)}
 			withFleet(spec, func(t *testFleet) {
 				t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 				client := t.boxes["h1-b1"].operator(t)
 				for version := 2; version <= 16; version++ {
 					text := bundleText(version, "a", "1GiB", "writer")
 					t.until(30*time.Second, func() error {
-						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
+						_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOffRequest(text)))
 						return err
 					})
 				}
@@ -115,31 +115,31 @@
 				var back []string
 				var watching, operators sync.WaitGroup
 				watching.Go(func() { back = watchGenerations(ctx, t, boxes) })
-				watching.Go(func() { breakThings(ctx, t, spec, boxes, seed) })
+				watching.Go(func() { injectRandomFaults(ctx, t, spec, boxes, seed) })
 				history := raceOperators(t, boxes, seed, &operators)
 				cancel()
 				watching.Wait()
 				Expect(back).To(BeEmpty(), "seed %d", seed)
 				Expect(porcupine.CheckOperations(rollModel.ToModel(), history)).To(BeTrue(), "seed %d", seed)
 				t.platform.SetMode(standin.FaultNone)
-				t.until(60*time.Second, func() error { return settled(t) })
+				t.until(60*time.Second, func() error { return checkGenerations(t) })
 			})
 		}
 	})
 
-	It("is everywhere within seconds of being accepted", func() {
+	It("reach all boxes within seconds after a roll is accepted", func() {
 		withFleet(fleetSpec{halls: 3, boxes: 3, engines: 1, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 			time.Sleep(20 * time.Second)
 			for version := 2; version <= 10; version++ {
 				t.roll(t.boxes[fmt.Sprintf("h%d-b2", 1+version%3)], bundleText(version, "a", "1GiB", "writer"))
-				t.until(inForceLimit, func() error { return settled(t) })
+				t.until(inForceLimit, func() error { return checkGenerations(t) })
 				time.Sleep(time.Duration(version) * 777 * time.Millisecond)
 			}
 		})
 	})
 
-	It("reaches a box that starts while the platform is down, from its peers", func() {
+	It("reach a box that starts while the platform is down, from its peers", func() {
 		spec := fleetSpec{halls: 2, boxes: 2, engines: 1, memory: 64 * gib}
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
@@ -162,9 +162,9 @@
 	})
 })
 
-// raceOperators has operators roll versions at random boxes and returns the history.
+// raceOperators has concurrent operators roll versions at random boxes and returns the history.
 func raceOperators(t *testFleet, boxes *boxPicker, seed uint64, operators *sync.WaitGroup) []porcupine.Operation {
-	var history histories[porcupine.Operation]
+	var history eventLog[porcupine.Operation]
 	begun := time.Now()
 	for operator := range 3 {
 		random := rand.New(rand.NewPCG(seed, 200+uint64(operator)))
--- a/internal/box/callers_test.go
+++ b/internal/box/callers_test.go
@@ -13,29 +13,31 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// attempt is one answer to a caller.
+// attempt is one attempt of a caller and its result.
 type attempt struct {
 	prompt     string
 	repeatable bool
 	text       string
 	outcome    ospreymoorv1.Outcome
 	failed     bool
-	// startsThen is how often the prompt had been started when the answer came.
-	startsThen int
-	// alone is set if no other attempt of the request was under way.
+	// startsAtAnswer is how often the prompt had been started when the answer came.
+	startsAtAnswer int
+	// alone is set if no other attempt of the same request was running.
 	alone bool
-	// begun and ended are when the attempt was sent and answered, and why it failed.
+	// begun and ended are when the attempt was sent and answered. failure is the error that it ended with.
 	begun, ended time.Time
-	why          string
+	failure      string
 	box          string
 }
 
 // String describes an attempt in one line.
 func (a attempt) String() string {
-	return fmt.Sprintf("%s..%s at %s, alone %v, started %d times then: %s", a.begun.Format("05.000"), a.ended.Format("05.000"), a.box, a.alone, a.startsThen, a.why)
+	return fmt.Sprintf("%s..%s at %s, alone %v, started %d times then: %s", a.begun.Format("05.000"), a.ended.Format("05.000"), a.box, a.alone, a.startsAtAnswer, a.failure)
 }
 
-// violations checks a history against what the engines noted in the end.
+// violations checks a history against what the engines have recorded at the end. It looks for answers that are not
+// whole or not the request's own, for requests that ran twice though they may not be repeated, and for false
+// 'not run' outcomes.
 func violations(t *testFleet, history []attempt) []string {
 	var found []string
 	allNotRun := map[string]bool{}
@@ -50,13 +52,13 @@
 			found = append(found, fmt.Sprintf("%s: answer %q is not whole or not its own", a.prompt, a.text))
 		case !a.repeatable && starts > 1:
 			found = append(found, fmt.Sprintf("%s: may not be repeated, started %d times", a.prompt, starts))
-		case notRun && a.alone && a.startsThen > 0:
+		case notRun && a.alone && a.startsAtAnswer > 0:
 			found = append(found, fmt.Sprintf("%s: told not run, had been started", a.prompt))
 		}
 	}
 	for _, a := range history {
 		if slices.ContainsFunc(found, func(f string) bool { return strings.HasPrefix(f, a.prompt+":") }) {
-			found = append(found, a.prompt+" story: "+a.String())
+			found = append(found, a.prompt+" attempt: "+a.String())
 		}
 	}
 	for prompt, notRun := range allNotRun {
@@ -73,8 +75,8 @@
 	return strings.Join(standin.Answer("acme/writer@a", "", prompt, answerPieces), "")
 }
 
-// callUntilAnswered sends one request until it has an answer, as a careful caller does.
-func callUntilAnswered(t *testFleet, boxes *boxPicker, random *rand.Rand, prompt string, history *histories[attempt]) {
+// callUntilAnswered sends one request until it has an answer, keeping its request key as callers must.
+func callUntilAnswered(t *testFleet, boxes *boxPicker, random *rand.Rand, prompt string, history *eventLog[attempt]) {
 	request := &ospreymoorv1.GenerateRequest{Model: "writer", Prompt: prompt, MaxTokens: answerPieces}
 	once := random.IntN(3) > 0
 	if once {
@@ -83,21 +85,21 @@
 	for try := range 8 {
 		request.FirstAttempt = try == 0
 		if once && random.IntN(4) == 0 {
-			callTwice(t, boxes, request, history)
+			callConcurrently(t, boxes, request, history)
 			request.FirstAttempt = false
 		}
 		if tryCall(t, boxes, request, true, history) {
 			return
 		}
 		if !once {
-			request.Prompt = fmt.Sprintf("%s.%d", prompt, try+1) // Each attempt stands for itself.
+			request.Prompt = fmt.Sprintf("%s.%d", prompt, try+1) // Each attempt is counted on its own.
 		}
 		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 	}
 }
 
-// callTwice sends the same request to two boxes at once.
-func callTwice(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, history *histories[attempt]) {
+// callConcurrently sends the same request to two boxes at once.
+func callConcurrently(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, history *eventLog[attempt]) {
 	request.FirstAttempt = false
 	var both sync.WaitGroup
 	for range 2 {
@@ -106,23 +108,23 @@
 	both.Wait()
 }
 
-func tryCall(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, alone bool, history *histories[attempt]) bool {
+func tryCall(t *testFleet, boxes *boxPicker, request *ospreymoorv1.GenerateRequest, alone bool, history *eventLog[attempt]) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
 	id, b := boxes.pick()
 	begun := time.Now()
 	text, err := t.complete(ctx, b, request)
 	history.add(attempt{
-		begun: begun, ended: time.Now(), why: fmt.Sprint(err), box: id,
+		begun: begun, ended: time.Now(), failure: fmt.Sprint(err), box: id,
 		prompt: request.GetPrompt(), repeatable: !request.GetNotRepeatable(), text: text,
-		failed: err != nil, outcome: outcomeOf(err), startsThen: t.startsOf(request.GetPrompt()), alone: alone,
+		failed: err != nil, outcome: outcomeOf(err), startsAtAnswer: t.startsOf(request.GetPrompt()), alone: alone,
 	})
 	return err == nil
 }
 
-// probe asks for each model at a box again and again until ctx ends; it returns the refusals.
+// probe repeatedly sends requests for each model to a box until ctx ends. It returns the refusals.
 func probe(ctx context.Context, t *testFleet, b *testBox, models []string) (refused []string) {
-	var history histories[string]
+	var history eventLog[string]
 	var probes sync.WaitGroup
 	begun := time.Now()
 	for _, model := range models {
--- a/internal/box/capacity_bench_test.go
+++ b/internal/box/capacity_bench_test.go
@@ -14,27 +14,27 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// restTime is how long a fleet at rest is measured.
-const restTime = 10 * time.Second
+// idleMeasureTime is how long an idle fleet is measured.
+const idleMeasureTime = 10 * time.Second
 
-// BenchmarkCapacityAtRest measures what control costs a fleet that serves nothing: per box
-// the bytes sent to peers, processor time and memory, and for the fleet the calls of the
-// key-value service. Processor time includes the stand-ins' part.
+// BenchmarkCapacityAtRest measures what control costs in a fleet that serves no requests: per box the bytes
+// exchanged with peers, processor time and memory, and for the fleet the calls of the key-value service. Processor
+// time includes that of the stand-ins.
 //
 //	go test -run '^$' -bench CapacityAtRest -benchtime 1x ./internal/box
 func BenchmarkCapacityAtRest(b *testing.B) {
 	for _, size := range []struct{ halls, boxes, engines int }{
-		{2, 2, 2}, {2, 4, 2}, {2, 8, 2}, // Slope of boxes in a hall.
-		{2, 2, 8}, {2, 2, 32}, {2, 2, 64}, // Slope of engines.
-		{4, 2, 2}, {7, 2, 2}, {7, 8, 2}, // Slope of halls.
+		{2, 2, 2}, {2, 4, 2}, {2, 8, 2}, // Cost per added box of a hall.
+		{2, 2, 8}, {2, 2, 32}, {2, 2, 64}, // Cost per added engine.
+		{4, 2, 2}, {7, 2, 2}, {7, 8, 2}, // Cost per added hall.
 	} {
 		name := fmt.Sprintf("halls=%d/boxes=%d/engines=%d", size.halls, size.halls*size.boxes, size.halls*size.engines)
-		b.Run(name, func(b *testing.B) { measureRest(b, size.halls, size.boxes, size.engines) })
+		b.Run(name, func(b *testing.B) { measureIdle(b, size.halls, size.boxes, size.engines) })
 	}
 }
 
-// servingFleet starts a fleet on the real clock, with so many boxes and engines in each hall,
-// and waits until its models answer.
+// servingFleet starts a fleet on the real clock, with the given boxes and engines in each hall, and waits until its
+// models answer.
 func servingFleet(b *testing.B, halls, boxes, engines int, models ...string) *testFleet {
 	RegisterTestingT(b)
 	t := newTestFleet(fleetSpec{halls: halls, boxes: boxes, engines: engines, memory: 64 * gib})
@@ -44,24 +44,23 @@
 	return t
 }
 
-func measureRest(b *testing.B, halls, boxes, engines int) {
-	before := heap()
+func measureIdle(b *testing.B, halls, boxes, engines int) {
+	before := heapBytes()
 	t := servingFleet(b, halls, boxes, engines, "m1", "m2", "m3", "m4")
-	time.Sleep(15 * time.Second) // All copies are loaded.
+	time.Sleep(15 * time.Second) // All replicas are loaded by then.
 	calls, out, in, cpu := t.platformCalls.counts(), t.peerBytes("out"), t.peerBytes("in"), cpuTime()
-	time.Sleep(restTime)
-	n, seconds := float64(len(t.boxes)), restTime.Seconds()
+	time.Sleep(idleMeasureTime)
+	n, seconds := float64(len(t.boxes)), idleMeasureTime.Seconds()
 	b.ReportMetric((t.peerBytes("out")-out)/n/seconds, "outB/s/box")
 	b.ReportMetric((t.peerBytes("in")-in)/n/seconds, "inB/s/box")
 	b.ReportMetric((cpuTime()-cpu).Seconds()/n/seconds*100, "core%/box")
 	reads, writes := callsSince(t.platformCalls.counts(), calls)
 	b.ReportMetric(reads/seconds, "kvreads/s")
 	b.ReportMetric(writes/seconds, "kvwrites/s")
-	b.ReportMetric((heap()-before)/n/(1<<20), "MB/box")
+	b.ReportMetric((heapBytes()-before)/n/(1<<20), "MB/box")
 }
 
-// BenchmarkCapacityChange counts the key-value calls of one roll, and the time until the change is in
-// force on every box.
+// BenchmarkCapacityChange measures the key-value calls of one roll, and the time until it is in force on every box.
 func BenchmarkCapacityChange(b *testing.B) {
 	for _, boxes := range []int{2, 4, 8} {
 		b.Run(fmt.Sprintf("boxes=%d", 2*boxes), func(b *testing.B) {
@@ -69,7 +68,7 @@
 			time.Sleep(15 * time.Second)
 			calls, begun := t.platformCalls.counts(), time.Now()
 			t.roll(t.boxes["h1-b1"], bundleText(2, "a", "1GiB", "m1"))
-			t.until(inForceLimit, func() error { return settled(t) })
+			t.until(inForceLimit, func() error { return checkGenerations(t) })
 			b.ReportMetric(float64(time.Since(begun).Milliseconds()), "ms-to-force")
 			reads, writes := callsSince(t.platformCalls.counts(), calls)
 			b.ReportMetric(reads, "kvreads/change")
@@ -78,18 +77,18 @@
 	}
 }
 
-// BenchmarkCapacityReturn counts the key-value calls in the ten seconds after a hall that was cut off
-// from everything for as long has come back.
+// BenchmarkCapacityReturn measures the key-value calls in the ten seconds after the end of a network partition that
+// cut a hall off from everything for ten seconds.
 func BenchmarkCapacityReturn(b *testing.B) {
 	for _, boxes := range []int{2, 4, 8} {
 		b.Run(fmt.Sprintf("boxes=%d", 2*boxes), func(b *testing.B) {
 			t := servingFleet(b, 2, boxes, 2, "m1")
 			inside, outside := t.hosts("h2")
 			t.net.setCut(true, inside, outside)
-			time.Sleep(restTime)
+			time.Sleep(idleMeasureTime)
 			t.net.setCut(false, inside, outside)
 			calls := t.platformCalls.counts()
-			time.Sleep(restTime)
+			time.Sleep(idleMeasureTime)
 			reads, writes := callsSince(t.platformCalls.counts(), calls)
 			b.ReportMetric(reads, "kvreads/return")
 			b.ReportMetric(writes, "kvwrites/return")
@@ -97,8 +96,8 @@
 	}
 }
 
-// BenchmarkCapacityFleet measures the records of a fleet of so many engines and models: the size of
-// the plan, and the time to take holdings in.
+// BenchmarkCapacityFleet measures the time to rebuild the fleet's snapshot, and the size of the plan and of a hall's
+// holdings, by the number of engines.
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, engines := range []int{18, 150, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -112,7 +111,7 @@
 	}
 }
 
-// BenchmarkCapacityTable measures putting a table of so many customers in force.
+// BenchmarkCapacityTable measures building a table in force with the given number of customers.
 func BenchmarkCapacityTable(b *testing.B) {
 	for _, customers := range []int{2, 50, 300} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
@@ -132,7 +131,7 @@
 	}
 }
 
-// peerBytes adds up what all boxes sent to or got from peers.
+// peerBytes returns how many bytes all boxes together sent to peers or received from them.
 func (t *testFleet) peerBytes(direction string) float64 {
 	var total uint64
 	for _, b := range t.boxes {
@@ -141,7 +140,7 @@
 	return float64(total)
 }
 
-// callsSince sorts the platform's calls into reads and writes; each watch counts as a read.
+// callsSince splits the platform's calls into reads and writes. Each watch counts as a read.
 func callsSince(now, before map[string]int) (reads, writes float64) {
 	for path, n := range now {
 		switch path {
@@ -154,7 +153,7 @@
 	return reads, writes
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/box/faults_test.go
+++ b/internal/box/faults_test.go
@@ -14,7 +14,8 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// mangler crosses, drops, doubles and swaps messages of answers.
+// mangler returns a function that drops, duplicates and delays the messages of answers, ends answers early, and mixes
+// messages of different answers.
 func mangler(seed uint64) func(*enginev1.GenerateResponse) []*enginev1.GenerateResponse {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 4))
@@ -25,12 +26,12 @@
 		switch random.IntN(60) {
 		case 0: // Dropped.
 			return nil
-		case 1: // Doubled.
+		case 1: // Duplicated.
 			return []*enginev1.GenerateResponse{m, m}
-		case 2: // Held back; whoever comes next gets it too.
+		case 2: // Held back and sent with the next message, whichever answer that belongs to.
 			held = m
 			return nil
-		case 3: // The end comes early.
+		case 3: // The answer ends early.
 			return []*enginev1.GenerateResponse{{RequestId: m.GetRequestId(), Index: m.GetIndex() + 1, Last: true}}
 		}
 		if held != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// boxPicker hands out a random box while boxes come and go.
+// boxPicker picks random boxes while boxes are stopped and replaced.
 type boxPicker struct {
 	mu     sync.Mutex
 	fleet  *testFleet
@@ -60,7 +61,7 @@
 	return id, p.fleet.boxes[id]
 }
 
-// replace kills a box and starts another in its place.
+// replace kills a random box and starts another in its place.
 func (p *boxPicker) replace(spec fleetSpec) {
 	id, b := p.pick()
 	p.mu.Lock()
@@ -69,8 +70,8 @@
 	p.fleet.startBox(spec, b.config.Hall, id)
 }
 
-// breakThings does one thing after another to the fleet until ctx ends.
-func breakThings(ctx context.Context, t *testFleet, spec fleetSpec, boxes *boxPicker, seed uint64) {
+// injectRandomFaults injects one random fault after another until ctx ends.
+func injectRandomFaults(ctx context.Context, t *testFleet, spec fleetSpec, boxes *boxPicker, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 6))
 	for pause(ctx, time.Duration(200+random.IntN(1500))*time.Millisecond) {
 		engine := fmt.Sprintf("h%d-e%d", 1+random.IntN(2), 1+random.IntN(2))
@@ -102,17 +103,17 @@
 	}
 }
 
-// orderFaults loses, delays and reorders orders on their way to an engine.
+// orderFaults loses, delays and reorders orders to an engine.
 type orderFaults struct {
 	mu     sync.Mutex
 	random *rand.Rand
-	// latest bounds how late an order takes effect.
-	latest time.Duration
+	// maxDelay bounds the delay after which an order takes effect.
+	maxDelay time.Duration
 }
 
 func (f *orderFaults) onOrder(context.Context, string) error {
 	f.mu.Lock()
-	dice, late := f.random.IntN(6), time.Duration(f.random.Int64N(int64(f.latest)))
+	dice, late := f.random.IntN(6), time.Duration(f.random.Int64N(int64(f.maxDelay)))
 	f.mu.Unlock()
 	switch dice {
 	case 0:
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// lossyPlatform loses answers of the key-value service after they took effect.
+// lossyPlatform returns a fault function with which some calls of the key-value service fail, and others take effect
+// but lose their answer.
 func lossyPlatform(seed uint64) func(string) standin.Fault {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 2))
@@ -140,7 +142,7 @@
 	}
 }
 
-// drain stops a box as planned and starts another in its place.
+// drain stops a random box as planned and starts another in its place.
 func (p *boxPicker) drain(spec fleetSpec) {
 	id, b := p.pick()
 	b.stop()
@@ -148,7 +150,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fleet.boxes[id] == b {
-		p.fleet.dead = append(p.fleet.dead, b)
+		p.fleet.stoppedBoxes = append(p.fleet.stoppedBoxes, b)
 		p.fleet.startBox(spec, b.config.Hall, id)
 	}
 }
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -35,23 +35,23 @@
 	callerToken   = "caller-token"
 )
 
-// testFleet is a fleet on a network in memory, on the clock of a bubble.
+// testFleet is a fleet on an in-memory network, on the fake clock of a synctest bubble.
 type testFleet struct {
-	net      *memnet
-	platform *standin.Platform
-	engines  map[string]*standin.Engine
-	services map[string]*standin.Service
-	boxes    map[string]*testBox
-	dead     []*testBox
-	client   *http.Client
-	servers  []*http.Server
-	// starts counts the starts of each box, so that each gets addresses of its own.
+	net          *memnet
+	platform     *standin.Platform
+	engines      map[string]*standin.Engine
+	services     map[string]*standin.Service
+	boxes        map[string]*testBox
+	stoppedBoxes []*testBox
+	client       *http.Client
+	servers      []*http.Server
+	// starts counts the boxes started, so that each gets addresses of its own.
 	starts int
-	// platformCalls counts the calls to the platform.
+	// platformCalls counts the calls of the platform.
 	platformCalls *callCounter
 }
 
-// testBox is one life of a box.
+// testBox is one incarnation of a box.
 type testBox struct {
 	*Box
 	address string
@@ -60,26 +60,26 @@
 	stopped chan struct{}
 }
 
-// fleetSpec is how a fleet begins.
+// fleetSpec describes the fleet to start.
 type fleetSpec struct {
 	halls, boxes, engines int
 	memory                int64
-	// weightSpeed is that of one load in bytes a second, 0 for no time at all.
+	// weightSpeed is the speed of one load in bytes per second. 0 means that loads take no time.
 	weightSpeed int64
-	// fault befalls the platform's calls.
-	fault func(path string) standin.Fault
-	// engine and config may change what is started.
+	// platformFault chooses the fault of each call of the platform.
+	platformFault func(path string) standin.Fault
+	// engine and config may change the settings of an engine or box before it starts.
 	engine func(id string, c *standin.EngineConfig, box *membership.Box)
 	config func(c *Config)
 }
 
-// withFleet runs f on a fleet in a bubble.
+// withFleet runs f on a fleet in a synctest bubble.
 func withFleet(spec fleetSpec, f func(*testFleet)) {
 	spectest.Bubble(func() {
 		t := newTestFleet(spec)
 		defer func() {
 			t.close()
-			// The bubble's clock stops with its first goroutine: let the others end before.
+			// The bubble's clock stops when its first goroutine returns. Give the others time to end before.
 			time.Sleep(time.Minute)
 		}()
 		f(t)
@@ -94,7 +94,7 @@
 		services: map[string]*standin.Service{},
 		boxes:    map[string]*testBox{},
 	}
-	t.platform.Weights.BytesPerSecond, t.platform.Fault = spec.weightSpeed, spec.fault
+	t.platform.Weights.BytesPerSecond, t.platform.Fault = spec.weightSpeed, spec.platformFault
 	t.client = &http.Client{Transport: httpTransport(t.net.dialer("client"))}
 	t.platformCalls = newCallCounter(t.platform.Handler())
 	t.serve("platform:1", t.platformCalls)
@@ -167,12 +167,12 @@
 	return b
 }
 
-// kill ends a box as a crash does: from outside, nothing of it is left.
+// kill ends a box as a crash does: other hosts cannot reach it any more.
 func (t *testFleet) kill(id string) {
 	b := t.boxes[id]
 	t.net.kill(b.host)
 	b.stop()
-	t.dead = append(t.dead, b)
+	t.stoppedBoxes = append(t.stoppedBoxes, b)
 	delete(t.boxes, id)
 }
 
@@ -195,7 +195,7 @@
 	for _, b := range t.boxes {
 		<-b.stopped
 	}
-	for _, b := range t.dead {
+	for _, b := range t.stoppedBoxes {
 		<-b.stopped
 	}
 	t.client.CloseIdleConnections()
@@ -236,14 +236,14 @@
 	return answer.Msg.GetText(), nil
 }
 
-// roll signs a bundle off and rolls it at a box, once the box knows its engines.
+// roll signs a bundle off and rolls it at a box, as soon as the box knows its engines.
 func (t *testFleet) roll(b *testBox, text string) {
 	parsed, err := bundle.Parse("test", []byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	client := b.operator(t)
 	const limit = 3 * time.Minute // Faults may keep engines unheard for a while.
 	t.until(limit, func() error {
-		_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
+		_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOffRequest(text)))
 		return err
 	})
 	t.until(limit, func() error {
@@ -252,7 +252,7 @@
 	})
 }
 
-// until tries again until do succeeds; it fails the test after a time of the bubble's clock.
+// until calls do until it succeeds. It fails the test after limit on the bubble's clock.
 func (t *testFleet) until(limit time.Duration, do func() error) {
 	GinkgoHelper()
 	end := time.Now().Add(limit)
@@ -268,7 +268,7 @@
 	}
 }
 
-// awaitModels waits until each box answers for each model.
+// awaitModels waits until each box answers requests for each model.
 func (t *testFleet) awaitModels(models ...string) {
 	GinkgoHelper()
 	for _, b := range t.boxes {
@@ -283,7 +283,7 @@
 	}
 }
 
-// hosts lists the network names of a hall's boxes and upstreams.
+// hosts lists the network names of boxes and upstreams: those in the hall, and all others with the platform.
 func (t *testFleet) hosts(hall string) (inside, outside []string) {
 	all := []string{"platform"}
 	for id := range t.engines {
@@ -305,7 +305,7 @@
 	return inside, outside
 }
 
-// overcommitted adds up the loads that took memory past an engine's capacity.
+// overcommitted counts the loads that exceeded an engine's memory.
 func (t *testFleet) overcommitted() int {
 	n := 0
 	for _, e := range t.engines {
@@ -314,7 +314,7 @@
 	return n
 }
 
-// starts counts how often a prompt was started on any engine.
+// startsOf counts how often a prompt was started on any engine.
 func (t *testFleet) startsOf(prompt string) int {
 	n := 0
 	for _, e := range t.engines {
@@ -323,8 +323,8 @@
 	return n
 }
 
-// newKey makes a UUIDv7 of the bubble's time; the library's own never goes back in time, as
-// the clock does from one bubble to the next.
+// newKey returns a UUIDv7 of the bubble's time. The uuid library never lets the time of its UUIDs decrease, but the
+// clock goes back from one bubble to the next.
 func newKey() string {
 	id := uuid.New()
 	millis := uint64(time.Now().UnixMilli())
@@ -335,7 +335,7 @@
 	return id.String()
 }
 
-// outcomeOf is the outcome that an error names.
+// outcomeOf returns the outcome that an error states.
 func outcomeOf(err error) ospreymoorv1.Outcome {
 	answer, ok := err.(*connect.Error)
 	if !ok {
@@ -351,25 +351,25 @@
 	return ospreymoorv1.Outcome_OUTCOME_UNSPECIFIED
 }
 
-// histories collects what concurrent callers saw.
-type histories[T any] struct {
+// eventLog collects the events of concurrent goroutines.
+type eventLog[T any] struct {
 	mu     sync.Mutex
 	events []T
 }
 
-func (h *histories[T]) add(event T) {
+func (h *eventLog[T]) add(event T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, event)
 }
 
-func (h *histories[T]) all() []T {
+func (h *eventLog[T]) all() []T {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.events)
 }
 
-var _ = Describe("A fleet in a bubble", func() {
+var _ = Describe("A fleet in a synctest bubble", func() {
 	It("serves a whole answer", func() {
 		withFleet(fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "10GiB", "writer"))
--- a/internal/box/leaving_test.go
+++ b/internal/box/leaving_test.go
@@ -10,8 +10,9 @@
 )
 
 var _ = Describe("An upstream that is leaving", func() {
-	// lateRequests has an engine leave while the box list goes on naming it, and counts the
-	// requests that still reach it more than seconds later.
+	// lateRequests has an engine leave while the box list still lists it as before, and counts the requests that
+	// reach the engine more than three seconds later. Without the guard, boxes forget again and again that it is
+	// leaving.
 	lateRequests := func(guard bool) (late int) {
 		withFleet(fleetSpec{halls: 1, boxes: 3, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", "m1"))
@@ -45,16 +46,16 @@
 		return late
 	}
 
-	It("gets nothing new after three seconds, though the box list lags, and no caller notices", func() {
+	It("gets no new requests after three seconds although the box list lags, and no caller is refused", func() {
 		Expect(lateRequests(true)).To(BeZero())
 	})
 
-	It("would get more if boxes went by the box list alone (guard off)", func() {
+	It("would get new requests if boxes relied on the box list alone (guard off)", func() {
 		Expect(lateRequests(false)).To(BeNumerically(">", 0))
 	})
 })
 
-// forgetLeaving drops from a box that an engine is leaving.
+// forgetLeaving makes a box forget that an engine is leaving.
 func (b *testBox) forgetLeaving(id string) {
 	old := b.fleet.snapshot.Load()
 	next := *old
--- a/internal/box/memnet_test.go
+++ b/internal/box/memnet_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// memnet is a network in memory: hosts can be cut off from each other and killed.
+// memnet is an in-memory network. Hosts can be partitioned from each other and killed.
 type memnet struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
 	conns     map[*memConn]bool
 	// cut holds pairs of hosts between which nothing passes.
 	cut map[[2]string]bool
-	// stopped are dead hosts.
-	stopped map[string]bool
-	changed chan struct{}
+	// downHosts holds the hosts that were killed.
+	downHosts map[string]bool
+	changed   chan struct{}
 }
 
 func newMemnet() *memnet {
@@ -27,7 +27,7 @@
 		listeners: map[string]*memListener{},
 		conns:     map[*memConn]bool{},
 		cut:       map[[2]string]bool{},
-		stopped:   map[string]bool{},
+		downHosts: map[string]bool{},
 		changed:   make(chan struct{}),
 	}
 }
@@ -38,7 +38,7 @@
 	defer n.mu.Unlock()
 	l := &memListener{net: n, address: address, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
-	delete(n.stopped, hostOf(address))
+	delete(n.downHosts, hostOf(address))
 	return l
 }
 
@@ -53,7 +53,7 @@
 		}
 		n.mu.Lock()
 		l := n.listeners[address]
-		dead := n.stopped[to] || n.stopped[from]
+		dead := n.downHosts[to] || n.downHosts[from]
 		n.mu.Unlock()
 		if l == nil || dead {
 			return nil, dialError("refused")
@@ -75,7 +75,7 @@
 	}
 }
 
-// await waits until nothing cuts from off from to; it returns false when done ends first.
+// await waits until from and to are not cut off from each other. It returns false if done ends first.
 func (n *memnet) await(done <-chan struct{}, from, to string) bool {
 	for {
 		n.mu.Lock()
@@ -98,7 +98,7 @@
 	return n.cut[[2]string{from, to}]
 }
 
-// setCut cuts two groups of hosts off from each other, or joins them again.
+// setCut cuts two groups of hosts off from each other, or ends that partition.
 func (n *memnet) setCut(cut bool, group, others []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,15 +111,15 @@
 	n.changed = make(chan struct{})
 }
 
-// kill ends a host: its connections break, and nothing reaches it or comes from it.
+// kill stops a host: its connections break, and no new ones reach it or come from it.
 func (n *memnet) kill(host string) {
 	n.mu.Lock()
-	n.stopped[host] = true
+	n.downHosts[host] = true
 	n.mu.Unlock()
 	n.reset(host)
 }
 
-// reset breaks all connections of a host.
+// reset closes all connections of a host.
 func (n *memnet) reset(host string) {
 	n.mu.Lock()
 	var broken []*memConn
@@ -170,22 +170,22 @@
 func (memAddr) Network() string  { return "mem" }
 func (a memAddr) String() string { return string(a) }
 
-// memConn is dead for good once something was sent over it while its hosts were cut off
-// from each other: what is sent then is lost without an error.
+// memConn stays broken once something was sent over it while its hosts were cut off from each other. What is sent
+// then is lost without an error.
 type memConn struct {
 	net.Conn
 	net      *memnet
 	from, to string
 	closed   chan struct{}
 	once     sync.Once
-	dead     atomic.Bool
+	broken   atomic.Bool
 }
 
 func (c *memConn) Write(p []byte) (int, error) {
 	if c.net.isCut(c.from, c.to) {
-		c.dead.Store(true)
+		c.broken.Store(true)
 	}
-	if c.dead.Load() {
+	if c.broken.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
--- a/internal/box/memory_test.go
+++ b/internal/box/memory_test.go
@@ -15,16 +15,16 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// memorySpec is a fleet that is tight for the bundles below, with faulty orders. Without the
-// guard, engines that do not check who orders are treated as if they did.
+// memorySpec describes a fleet with little memory for the bundles below and with faulty orders. Without the guard,
+// boxes treat engines that do not check the term of an order as if they did.
 func memorySpec(seed uint64, fenced, guard bool) fleetSpec {
-	spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 40 * gib, weightSpeed: 10 * gib, fault: lossyPlatform(seed)}
+	spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 40 * gib, weightSpeed: 10 * gib, platformFault: lossyPlatform(seed)}
 	latest := 40 * time.Second
 	if !fenced && guard {
-		latest = 9 * time.Second // Within OrderLife, as the setting promises.
+		latest = 9 * time.Second // Less than OrderLife, as that setting requires.
 	}
 	spec.engine = func(id string, c *standin.EngineConfig, box *membership.Box) {
-		faults := &orderFaults{random: rand.New(rand.NewPCG(seed, uint64(len(id))+uint64(id[1])*7+uint64(id[4]))), latest: latest}
+		faults := &orderFaults{random: rand.New(rand.NewPCG(seed, uint64(len(id))+uint64(id[1])*7+uint64(id[4]))), maxDelay: latest}
 		c.OnOrder = faults.onOrder
 		box.Fenced = fenced || !guard
 		c.Fenced = fenced && guard
@@ -32,8 +32,8 @@
 	return spec
 }
 
-// rollThroughFaults rolls version after version, each with new weights, while the boxes
-// that hold the leases are killed and replaced. It returns the loads past capacity.
+// rollThroughFaults rolls several versions, each with new weights, while boxes that hold hall leases are killed and
+// replaced. It returns the loads that exceeded an engine's memory, and all loads.
 func rollThroughFaults(seed uint64, fenced, guard bool) (overcommitted, loads int) {
 	spec := memorySpec(seed, fenced, guard)
 	withFleet(spec, func(t *testFleet) {
@@ -64,7 +64,7 @@
 	const seeds = 4
 
 	for _, fenced := range []bool{true, false} {
-		It(fmt.Sprintf("is never overcommitted while bundles roll, orders go astray and controllers die (fenced: %v)", fenced), func() {
+		It(fmt.Sprintf("is never overcommitted while bundles are rolled, orders are lost or late and controllers crash (fenced: %v)", fenced), func() {
 			total := 0
 			for seed := range uint64(seeds) {
 				overcommitted, loads := rollThroughFaults(seed, fenced, true)
@@ -72,12 +72,12 @@
 				Expect(loads).To(BeNumerically(">", 4), "seed %d: the run did load models", seed)
 				total += loads
 			}
-			// How many loads one run makes is up to chance, 9 to 16 in forty runs a seed; four runs together are not.
+			// The number of loads of one run is random, 9 to 16 in forty runs per seed. Four runs together vary less.
 			Expect(total).To(BeNumerically(">", 8*seeds), "the runs did load models")
 		})
 	}
 
-	It("would be overcommitted without fence or intents (guard off)", func() {
+	It("would be overcommitted without fencing or intents (guard off)", func() {
 		// Whether one run overcommits is up to chance: a seed replays the faults, not how processes interleave. So more
 		// seeds are played until one in four was overcommitted, as the first four are as a rule.
 		const most = 6 * seeds
@@ -90,14 +90,14 @@
 		Expect(total*seeds).To(BeNumerically(">=", played), "%d overcommits in %d seeds", total, played)
 	})
 
-	It("refuses one of two rolls that fit only singly, with the figures", func() {
+	It("refuses a roll for which the engines have no room, with the figures", func() {
 		withFleet(fleetSpec{halls: 2, boxes: 1, engines: 1, memory: 60 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "20GiB", "m1"))
 			t.awaitModels("m1")
 			time.Sleep(5 * time.Second)
 			client := t.boxes["h1-b1"].operator(t)
 			text := bundleText(2, "a", "20GiB", "m1", "m2", "m3", "m4", "m5", "m6", "m7")
-			_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOff(text)))
+			_, err := client.SignOffBundle(context.Background(), authorized(operatorToken, signOffRequest(text)))
 			Expect(err).NotTo(HaveOccurred())
 			_, err = client.RollBundle(context.Background(), authorized(operatorToken, &ospreymoorv1.RollBundleRequest{Version: 2}))
 			Expect(connect.CodeOf(err)).To(Equal(connect.CodeFailedPrecondition))
--- a/internal/box/overload_test.go
+++ b/internal/box/overload_test.go
@@ -17,7 +17,7 @@
 )
 
 var _ = Describe("Overload", func() {
-	// flood sends requests at a rate for a time and counts answers and refusals.
+	// flood sends one request per interval for a time. It counts answers, refusals within 50 ms and later refusals.
 	flood := func(t *testFleet, b *testBox, name string, every, lasts time.Duration) (served, refused, held int) {
 		var mu sync.Mutex
 		var sending sync.WaitGroup
@@ -43,23 +43,23 @@
 		return served, refused, held
 	}
 
-	It("is refused at once, with when to come back, and what is admitted is served", func() {
+	It("is refused at once, and admitted requests are served", func() {
 		spec := fleetSpec{halls: 1, boxes: 1, engines: 1, memory: 64 * gib}
 		withFleet(spec, func(t *testFleet) {
-			// A target of 30 s holds 30 s of work at most, whatever comes.
+			// With a target of 30 s, at most 30 s of work is admitted at any load.
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", "m1"))
 			t.awaitModels("m1")
 			served, refused, held := flood(t, t.boxes["h1-b1"], "flood", 20*time.Millisecond, 30*time.Second)
-			Expect(held).To(BeZero(), "no refusal comes late")
+			Expect(held).To(BeZero(), "no refusal is late")
 			Expect(refused).To(BeNumerically(">", 500))
 			Expect(served).To(BeNumerically(">", 200))
 			Expect(t.boxes["h1-b1"].admission.InFlight()).To(BeZero())
 		})
 	})
 
-	// dispatches counts how often requests are sent to engines while one of them breaks every
-	// answer off, for each request that came.
-	dispatches := func(share float64) float64 {
+	// attemptsPerRequest returns how often a request is sent to an engine on average, while one of three engines
+	// breaks off every answer. share is that of the retry budget.
+	attemptsPerRequest := func(share float64) float64 {
 		spec := fleetSpec{halls: 1, boxes: 1, engines: 3, memory: 64 * gib}
 		spec.engine = func(id string, c *standin.EngineConfig, _ *membership.Box) {
 			if id == "h1-e1" {
@@ -84,11 +84,11 @@
 		return ratio
 	}
 
-	It("of retries is held to a share of the requests when an engine breaks every answer off", func() {
-		Expect(dispatches(retryBudgetRatio)).To(BeNumerically("<", 1.25))
+	It("of retries is limited to a share of the requests when an engine breaks off every answer", func() {
+		Expect(attemptsPerRequest(retryBudgetRatio)).To(BeNumerically("<", 1.25))
 	})
 
-	It("of the key-value service does not come from a fleet at rest", func() {
+	It("of the key-value service is not caused by an idle fleet", func() {
 		withFleet(fleetSpec{halls: 4, boxes: 2, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", "m1", "m2"))
 			t.awaitModels("m1", "m2")
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -36,16 +36,16 @@
 			probing.Wait()
 			Expect(refused).To(BeEmpty())
 			plan := t.boxes["h2-b1"].fleet.snapshot.Load().plan
-			Expect(plan.Serving).To(HaveKeyWithValue("acme/m1", "acme/m1@w4"), "the roll got through")
+			Expect(plan.Serving).To(HaveKeyWithValue("acme/m1", "acme/m1@w4"), "the roll was completed")
 		})
 	})
 
-	It("stays reachable when an engine dies, and when the hall's controller dies too", func() {
+	It("stays reachable when an engine crashes, and when the hall's controller crashes too", func() {
 		spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 64 * gib, weightSpeed: 5 * gib}
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", models...))
 			t.awaitModels(models...)
-			time.Sleep(60 * time.Second) // Second copies are loaded.
+			time.Sleep(60 * time.Second) // Second replicas are loaded by then.
 			t.net.kill("h1-e1")
 			for id, b := range t.boxes {
 				if _, err := b.control.hallLease.Term(); err == nil && b.config.Hall == "h1" {
@@ -59,12 +59,12 @@
 			Expect(probe(ctx, t, t.boxes["h2-b1"], models)).To(BeEmpty())
 			for _, copies := range t.boxes["h2-b1"].fleet.snapshot.Load().plan.Units {
 				alive := slices.DeleteFunc(slices.Clone(copies.Places), func(p placement.Place) bool { return p.Engine == "h1-e1" })
-				Expect(len(alive)).To(BeNumerically(">=", 2), "the lost copy of %s was made anew", copies.Model)
+				Expect(len(alive)).To(BeNumerically(">=", 2), "the lost replica of %s was replaced", copies.Model)
 			}
 		})
 	})
 
-	It("is served on by a hall that is cut off from everything, as far as the hall holds it", func() {
+	It("is still served in a hall that is cut off from everything, if the hall's engines hold it", func() {
 		spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 64 * gib}
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "w1", "15GiB", "m1"))
@@ -82,24 +82,25 @@
 			}
 			Expect(probe(ctx, t, t.boxes["h2-b1"], []string{"m1"})).To(BeEmpty())
 			t.net.setCut(false, inside, outside)
-			t.until(60*time.Second, func() error { return settled(t) })
+			t.until(60*time.Second, func() error { return checkGenerations(t) })
 		})
 	})
 })
 
 var _ = Describe("While the platform is down", func() {
-	// refusedLater has engines busy when the platform goes down for minutes, and returns the
-	// refusals long after the rush is over. killed has the hall's controller die meanwhile.
-	refusedLater := func(killed bool) (refused []string) {
+	// refusedAfterPeak has a load peak while the platform is down for minutes, and returns the refusals long after the
+	// peak. With killed, the hall's controller crashes at the end of the peak. The failure guarded against is that boxes
+	// go on refusing requests because they still count the load of the peak.
+	refusedAfterPeak := func(killed bool) (refused []string) {
 		withFleet(fleetSpec{halls: 1, boxes: 3, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			text := strings.Replace(bundleText(1, "w1", "15GiB", "m1"), "first-token: 30s", "first-token: 2s", 1)
 			t.roll(t.boxes["h1-b1"], text)
 			t.awaitModels("m1")
 			time.Sleep(20 * time.Second)
 			t.platform.SetMode(standin.FaultDown)
-			var rush sync.WaitGroup
+			var peak sync.WaitGroup
 			for n := range 600 {
-				rush.Go(func() {
+				peak.Go(func() {
 					request := &ospreymoorv1.GenerateRequest{Model: "m1", Prompt: fmt.Sprintf("rush %d", n), MaxTokens: 100}
 					_, _ = t.complete(context.Background(), t.boxes[fmt.Sprintf("h1-b%d", 1+n%3)], request)
 				})
@@ -112,7 +113,7 @@
 					}
 				}
 			}
-			rush.Wait()
+			peak.Wait()
 			time.Sleep(time.Minute)
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 			defer cancel()
@@ -125,11 +126,11 @@
 		return refused
 	}
 
-	It("a rush is forgotten when it is over", func() {
-		Expect(refusedLater(false)).To(BeEmpty())
+	It("requests are served again after a load peak", func() {
+		Expect(refusedAfterPeak(false)).To(BeEmpty())
 	})
 
-	It("a rush is forgotten also when the hall's controller has died", func() {
-		Expect(refusedLater(true)).To(BeEmpty())
+	It("requests are served again after a load peak also if the hall's controller has crashed", func() {
+		Expect(refusedAfterPeak(true)).To(BeEmpty())
 	})
 })
--- a/internal/box/requests_test.go
+++ b/internal/box/requests_test.go
@@ -21,7 +21,7 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// requestSpec is a fleet whose engines mangle answers.
+// requestSpec describes a fleet whose engines mangle answers.
 func requestSpec(seed uint64) fleetSpec {
 	return fleetSpec{
 		halls: 2, boxes: 2, engines: 2, memory: 64 * gib,
@@ -31,15 +31,15 @@
 	}
 }
 
-// callThroughFaults has callers send requests, and again after failures, while boxes are killed,
-// connections break, halls are cut off and the platform goes away. It returns what was violated.
+// callThroughFaults has callers send requests, and repeat them after failures, while boxes are killed, connections
+// break, halls are partitioned and the platform is down. It returns the violations, the answers and all attempts.
 func callThroughFaults(seed uint64, prepare func(*testFleet)) (found []string, done, total int) {
 	spec := requestSpec(seed)
 	withFleet(spec, func(t *testFleet) {
 		t.roll(t.boxes["h1-b1"], bundleText(1, "a", "10GiB", "writer"))
 		t.awaitModels("writer")
 		prepare(t)
-		var history histories[attempt]
+		var history eventLog[attempt]
 		boxes := newBoxPicker(t, seed)
 		ctx, cancel := context.WithCancel(context.Background())
 		var callers, faults sync.WaitGroup
@@ -51,7 +51,7 @@
 				}
 			})
 		}
-		faults.Go(func() { breakThings(ctx, t, spec, boxes, seed) })
+		faults.Go(func() { injectRandomFaults(ctx, t, spec, boxes, seed) })
 		callers.Wait()
 		cancel()
 		faults.Wait()
@@ -68,8 +68,8 @@
 	return found, done, total
 }
 
-// unchecked reads an answer from an engine as a client does that checks nothing.
-func (t *testFleet) unchecked(engine, prompt string) string {
+// readUnchecked reads an answer from an engine like a client that checks nothing.
+func (t *testFleet) readUnchecked(engine, prompt string) string {
 	client := enginev1connect.NewEngineServiceClient(t.client, "http://"+engine+":1")
 	request := &enginev1.GenerateRequest{RequestId: prompt, Model: "acme/writer@a", Prompt: prompt, MaxTokens: answerPieces}
 	stream, err := client.Generate(context.Background(), connect.NewRequest(request))
@@ -114,7 +114,7 @@
 			wrong := 0
 			for n := range 60 {
 				prompt := fmt.Sprintf("unchecked %d", n)
-				if t.unchecked("h1-e1", prompt) != wholeAnswer(prompt) {
+				if t.readUnchecked("h1-e1", prompt) != wholeAnswer(prompt) {
 					wrong++
 				}
 			}
@@ -122,7 +122,7 @@
 		})
 	})
 
-	It("would be told not run falsely if a retry passed for a first attempt (guard off)", func() {
+	It("would be told 'not run' wrongly if a retry claimed to be a first attempt (guard off)", func() {
 		withFleet(fleetSpec{halls: 1, boxes: 2, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "10GiB", "writer"))
 			t.awaitModels("writer")
--- a/internal/box/resume_test.go
+++ b/internal/box/resume_test.go
@@ -20,8 +20,8 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-var _ = Describe("A stream that is cut", func() {
-	It("is resumed at every offset, to the whole answer, in one run", func() {
+var _ = Describe("A stream whose connection breaks", func() {
+	It("is resumed from every offset to the whole answer, within one run", func() {
 		var cutAt atomic.Int64
 		var cut func(engine string)
 		spec := fleetSpec{halls: 1, boxes: 1, engines: 2, memory: 64 * gib}
@@ -57,7 +57,7 @@
 	})
 })
 
-// post sends a keyed call of the plain service at a box.
+// post sends a call with a request key to the plain service through a box.
 func (t *testFleet) post(b *testBox, key, body string, first bool) (status int, answer string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
@@ -84,15 +84,15 @@
 	return n
 }
 
-var _ = Describe("Plain calls that may not be repeated", func() {
-	// issue has callers issue reports through faults; it returns what was violated.
+var _ = Describe("Calls of plain services that may not be repeated", func() {
+	// issue has callers post reports while faults are injected. It returns the violations and the number of answers.
 	issue := func(seed uint64) (found []string, done int) {
 		spec := fleetSpec{halls: 2, boxes: 2, engines: 1, memory: 64 * gib}
 		withFleet(spec, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "1GiB", "writer"))
 			t.awaitModels("writer")
 			boxes := newBoxPicker(t, seed)
-			var violated histories[string]
+			var violated eventLog[string]
 			var answered atomic.Int64
 			ctx, cancel := context.WithCancel(context.Background())
 			var callers, faults sync.WaitGroup
--- a/internal/box/soak_test.go
+++ b/internal/box/soak_test.go
@@ -16,7 +16,7 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// soak is how long to go on with new seeds:
+// soak is how long the soak test goes on with new seeds:
 //
 //	go test ./internal/box -timeout 0 -args -ginkgo.focus=soak -soak=10m -soak-seed=1
 var (
@@ -24,15 +24,15 @@
 	soakSeed = flag.Uint64("soak-seed", 1, "first seed of the soak test")
 )
 
-// fault is one thing that happens to a fleet, alone or with a second one.
+// fault is one fault injected into a fleet.
 type fault struct {
 	kind string
-	// hall, box and engine that it happens to, where it needs one.
+	// hall and number choose the hall, and the engine in it, for kinds that need one.
 	hall, number int
-	// lasts is how long it goes on, and then how long until the next.
-	lasts, then time.Duration
-	// twice has it happen again at once, together with the next of the schedule.
-	twice bool
+	// duration is how long the fault lasts. pauseAfter is the pause between its end and the next fault.
+	duration, pauseAfter time.Duration
+	// concurrent has the next fault of the schedule injected at the same time.
+	concurrent bool
 }
 
 var faultKinds = []string{
@@ -40,23 +40,22 @@
 	"cut hall", "cut platform from hall", "roll", "lose engine orders", "cut engine",
 }
 
-// schedule draws the faults of a seed: the same seed draws the same ones.
+// schedule returns the faults of a seed. The same seed gives the same faults.
 func schedule(seed uint64) []fault {
 	one := rapid.Custom(func(t *rapid.T) fault {
 		return fault{
-			kind:   rapid.SampledFrom(faultKinds).Draw(t, "kind"),
-			hall:   rapid.IntRange(1, 2).Draw(t, "hall"),
-			number: rapid.IntRange(1, 2).Draw(t, "number"),
-			lasts:  time.Duration(rapid.IntRange(50, 4000).Draw(t, "lasts")) * time.Millisecond,
-			then:   time.Duration(rapid.IntRange(0, 2500).Draw(t, "then")) * time.Millisecond,
-			twice:  rapid.Bool().Draw(t, "twice"),
+			kind:       rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+			hall:       rapid.IntRange(1, 2).Draw(t, "hall"),
+			number:     rapid.IntRange(1, 2).Draw(t, "number"),
+			duration:   time.Duration(rapid.IntRange(50, 4000).Draw(t, "lasts")) * time.Millisecond,
+			pauseAfter: time.Duration(rapid.IntRange(0, 2500).Draw(t, "then")) * time.Millisecond,
+			concurrent: rapid.Bool().Draw(t, "twice"),
 		}
 	})
 	return rapid.SliceOfN(one, 14, 14).Example(int(seed))
 }
 
-// soakRun drives one fleet through a seed's schedule under callers and rolls, and returns every
-// violation of what must always hold.
+// soakRun runs a seed's faults on one fleet under calls and rolls. It returns every violation of an invariant.
 func soakRun(seed uint64) (found []string) {
 	var losing sync.Map
 	spec := fleetSpec{halls: 2, boxes: 2, engines: 2, memory: 40 * gib, weightSpeed: 10 * gib}
@@ -75,7 +74,7 @@
 		boxes := newBoxPicker(t, seed)
 		ctx, cancel := context.WithCancel(context.Background())
 		var callers, watching sync.WaitGroup
-		var history histories[attempt]
+		var history eventLog[attempt]
 		var back []string
 		watching.Go(func() { back = watchGenerations(ctx, t, boxes) })
 		for caller := range 4 {
@@ -87,7 +86,7 @@
 				}
 			})
 		}
-		t.happen(schedule(seed), spec, boxes, &losing)
+		t.injectFaults(schedule(seed), spec, boxes, &losing)
 		cancel()
 		callers.Wait()
 		watching.Wait()
@@ -95,29 +94,29 @@
 		if n := t.overcommitted(); n > 0 {
 			found = append(found, fmt.Sprintf("memory overcommitted %d times", n))
 		}
-		t.until(60*time.Second, func() error { return settled(t) })
+		t.until(60*time.Second, func() error { return checkGenerations(t) })
 		t.awaitModels("writer", "other")
 	})
 	return found
 }
 
-// happen has the faults happen, one after the other, or two at once.
-func (t *testFleet) happen(faults []fault, spec fleetSpec, boxes *boxPicker, losing *sync.Map) {
+// injectFaults injects the faults one after the other, or two at once.
+func (t *testFleet) injectFaults(faults []fault, spec fleetSpec, boxes *boxPicker, losing *sync.Map) {
 	version := 1
 	for i, f := range faults {
 		var together sync.WaitGroup
-		together.Go(func() { t.strike(f, spec, boxes, losing, &version) })
-		if f.twice && i+1 < len(faults) && faults[i+1].kind != "roll" && f.kind != "roll" {
-			again := faults[i+1]
-			together.Go(func() { t.strike(again, spec, boxes, losing, &version) })
+		together.Go(func() { t.injectFault(f, spec, boxes, losing, &version) })
+		if f.concurrent && i+1 < len(faults) && faults[i+1].kind != "roll" && f.kind != "roll" {
+			next := faults[i+1]
+			together.Go(func() { t.injectFault(next, spec, boxes, losing, &version) })
 		}
 		together.Wait()
-		time.Sleep(f.then)
+		time.Sleep(f.pauseAfter)
 	}
 }
 
-// strike does one fault and undoes it after its time.
-func (t *testFleet) strike(f fault, spec fleetSpec, boxes *boxPicker, losing *sync.Map, version *int) {
+// injectFault injects one fault and undoes it when its duration is over.
+func (t *testFleet) injectFault(f fault, spec fleetSpec, boxes *boxPicker, losing *sync.Map, version *int) {
 	hall := fmt.Sprintf("h%d", f.hall)
 	engine := fmt.Sprintf("%s-e%d", hall, f.number)
 	switch f.kind {
@@ -132,40 +131,40 @@
 		t.net.reset(engine)
 	case "platform down":
 		t.platform.SetMode(standin.FaultDown)
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		t.platform.SetMode(standin.FaultNone)
 	case "lost answers":
 		t.platform.SetMode(standin.FaultLostAnswer)
-		time.Sleep(f.lasts / 4)
+		time.Sleep(f.duration / 4)
 		t.platform.SetMode(standin.FaultNone)
 	case "cut hall":
 		inside, outside := boxes.hosts(hall)
 		t.net.setCut(true, inside, outside)
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		t.net.setCut(false, inside, outside)
 	case "cut platform from hall":
 		inside, _ := boxes.hosts(hall)
 		t.net.setCut(true, inside, []string{"platform"})
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		t.net.setCut(false, inside, []string{"platform"})
 	case "cut engine":
 		others := boxes.boxHosts()
 		t.net.setCut(true, others, []string{engine})
 		t.net.reset(engine)
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		t.net.setCut(false, others, []string{engine})
 	case "roll":
 		*version++
 		_, b := boxes.pick()
 		t.tryRoll(b, *version)
 	case "lose engine orders":
-		losing.Store(engine, 3*f.lasts)
-		time.Sleep(f.lasts)
+		losing.Store(engine, 3*f.duration)
+		time.Sleep(f.duration)
 		losing.Delete(engine)
 	}
 }
 
-// tryRoll rolls a version whose second model has new weights; it may fail.
+// tryRoll rolls a version whose second model has new weights. The roll may fail.
 func (t *testFleet) tryRoll(b *testBox, version int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -173,14 +172,14 @@
 	other := bundleText(version, fmt.Sprintf("w%d", version), "10GiB", "other")
 	text = joinModels(text, other)
 	client := b.operator(t)
-	if _, err := client.SignOffBundle(ctx, authorized(operatorToken, signOff(text))); err != nil {
+	if _, err := client.SignOffBundle(ctx, authorized(operatorToken, signOffRequest(text))); err != nil {
 		return
 	}
 	_ = rollOnce(t, b, uint64(version))
 }
 
-var _ = Describe("Everything at once (soak)", func() {
-	It("keeps what must always hold", func() {
+var _ = Describe("All faults together (soak)", func() {
+	It("violate no invariant", func() {
 		begun := time.Now()
 		for seed := *soakSeed; ; seed++ {
 			found := soakRun(seed)
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -13,9 +13,9 @@
 )
 
 var _ = Describe("A planned stop", func() {
-	// cutOff stops every box in turn under load and returns what callers lost. The balancer
-	// notices a box's readiness half a second late.
-	cutOff := func(notice time.Duration) (lost []string) {
+	// stopEachBox stops every box in turn under load and returns the requests that got no whole answer. The balancer
+	// sees a change of a box's readiness half a second late.
+	stopEachBox := func(notice time.Duration) (lost []string) {
 		spec := fleetSpec{halls: 1, boxes: 3, engines: 2, memory: 64 * gib}
 		spec.config = func(c *Config) { c.Drain.Notice = notice }
 		withFleet(spec, func(t *testFleet) {
@@ -25,7 +25,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			var running sync.WaitGroup
 			running.Go(func() { balancer.follow(ctx) })
-			var history histories[string]
+			var history eventLog[string]
 			for caller := range 4 {
 				running.Go(func() { callThrough(ctx, t, balancer, caller, &history) })
 			}
@@ -46,15 +46,15 @@
 	}
 
 	It("cuts off no request, streams and claims included", func() {
-		Expect(cutOff(time.Second)).To(BeEmpty())
+		Expect(stopEachBox(time.Second)).To(BeEmpty())
 	})
 
 	It("would lose requests without waiting for the balancer (guard off)", func() {
-		Expect(cutOff(0)).NotTo(BeEmpty())
+		Expect(stopEachBox(0)).NotTo(BeEmpty())
 	})
 })
 
-// balancer hands callers a box that was ready half a second ago.
+// balancer gives callers a box that was ready half a second ago.
 type balancer struct {
 	mu    sync.Mutex
 	fleet *testFleet
@@ -99,12 +99,12 @@
 func (l *balancer) replace(spec fleetSpec, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.dead = append(l.fleet.dead, l.fleet.boxes[id])
+	l.fleet.stoppedBoxes = append(l.fleet.stoppedBoxes, l.fleet.boxes[id])
 	l.fleet.startBox(spec, "h1", id)
 }
 
-// callThrough streams answers through the balancer and notes each that is not whole.
-func callThrough(ctx context.Context, t *testFleet, l *balancer, caller int, lost *histories[string]) {
+// callThrough streams answers through the balancer and records each that is not whole.
+func callThrough(ctx context.Context, t *testFleet, l *balancer, caller int, lost *eventLog[string]) {
 	for n := 0; pause(ctx, 50*time.Millisecond); n++ {
 		b := l.pick()
 		if b == nil {
--- a/internal/box/synthetic_box_test.go
+++ b/internal/box/synthetic_box_test.go
@@ -15,8 +15,8 @@
 	"ospreymoor.example/ospreymoor/pkg/records"
 )
 
-// syntheticBox is a box that does not run but holds the records of a large fleet: so many
-// engines in seven halls, and three models to four engines with two adapters each.
+// syntheticBox returns a box that does not run but has the records of a large fleet: the given number of engines in
+// seven halls, and three models for each four engines with two adapters each.
 func syntheticBox(engines int) *Box {
 	box := New(Config{
 		ID: "b", Hall: "h0", Log: zap.NewNop(),
