--- a/internal/cluster/limits_test.go
+++ b/internal/cluster/limits_test.go
@@ -24,7 +24,7 @@
 		return newLimitBroadcasts(d)
 	}
 	setLimit := func(l *limitBroadcasts, n int, perSecond float64) {
-		l.Directory.Note(fmt.Sprint("e", n), fleet.Notice{Limit: &perSecond, Source: fleet.SourceRequest})
+		l.Directory.RecordNotice(fmt.Sprint("e", n), fleet.Notice{Limit: &perSecond, Source: fleet.SourceRequest})
 	}
 
 	It("are sent to each box twice, again after a failed call, and in full to a box that joins later", func() {
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -152,7 +152,7 @@
 				return residency.EnsureResult{Upstream: "without", Residency: fleet.Residency{Adapters: map[string][]string{"m": {"a"}}, Sequence: 1}, Term: 1}, nil
 			}
 			f.ask(context.Background(), "r0", "/stream/x", "m")
-			f.Directory.Note("with", fleet.Notice{Rest: backoff})
+			f.Directory.RecordNotice("with", fleet.Notice{Rest: backoff})
 			ask := &Request{ID: "r1", Arrived: time.Now(), Deadline: time.Now().Add(time.Second), Path: "/stream/x", Host: "h", Header: http.Header{}, Model: "m", Adapter: "a"}
 			c := &caller{ResponseRecorder: httptest.NewRecorder()}
 			Expect(f.Serve(context.Background(), c, ask)).To(Succeed())
@@ -168,7 +168,7 @@
 			f.Reserve = func(_ context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error) {
 				if chosen == "" {
 					chosen = asked.Engine
-					f.Directory.Note(chosen, fleet.Notice{Rest: backoff})
+					f.Directory.RecordNotice(chosen, fleet.Notice{Rest: backoff})
 				}
 				return dispatch.ReservationAnswer{Taken: true}, nil
 			}
@@ -190,7 +190,7 @@
 			f.Log = zap.New(core)
 			var noted []fleet.Noted
 			f.Directory.OnNotice = func(n fleet.Noted) { noted = append(noted, n) }
-			f.Directory.Note("p0", fleet.Notice{Leaving: true, Rest: backoff})
+			f.Directory.RecordNotice("p0", fleet.Notice{Leaving: true, Rest: backoff})
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Kinds()).To(Equal([]string{"leaving", "rest"}))
 			time.Sleep(time.Second)
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -179,7 +179,7 @@
 		directory.OnNotice = func(noted fleet.Noted) {
 			for _, other := range n.nodes {
 				if noted.Source != fleet.SourceBox && other != nil && other != box {
-					other.Gateway.Directory.Note(noted.Upstream, fleet.Notice{Rest: noted.Rest, Source: fleet.SourceBox})
+					other.Gateway.Directory.RecordNotice(noted.Upstream, fleet.Notice{Rest: noted.Rest, Source: fleet.SourceBox})
 				}
 			}
 		}
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -44,8 +44,8 @@
 			d := listed(0)
 			reported := 0
 			d.OnNotice = func(Noted) { reported++ }
-			d.Note("a", Notice{Cold: time.Second})
-			d.Note("a", Notice{Cold: time.Second})
+			d.RecordNotice("a", Notice{Cold: time.Second})
+			d.RecordNotice("a", Notice{Cold: time.Second})
 			Expect(cold(d)).To(BeTrue())
 			Expect(reported).To(Equal(1))
 		})
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -149,7 +149,7 @@
 	n.requestStart = e.startedAt
 	n.Unlimited = n.Unlimited && e.directory.Limit(e.ID).Named()
 	if !n.empty() {
-		e.directory.Note(e.ID, n)
+		e.directory.RecordNotice(e.ID, n)
 	}
 }
 
@@ -166,8 +166,8 @@
 // maxUnreadableBytes bounds what is kept, for its log line, of a value that could not be parsed.
 const maxUnreadableBytes = 40
 
-// Note stores a notice of an upstream, and calls OnNotice if it states something new.
-func (d *Directory) Note(id string, n Notice) {
+// RecordNotice stores a notice of an upstream, and calls OnNotice if it states something new.
+func (d *Directory) RecordNotice(id string, n Notice) {
 	n.Unreadable = n.Unreadable[:min(len(n.Unreadable), maxUnreadableBytes)]
 	if news := d.storeNotice(id, n); !news.empty() && d.OnNotice != nil {
 		d.OnNotice(Noted{Notice: news, Upstream: id})
@@ -232,7 +232,7 @@
 func (d *Directory) RecordLeaving(ids []string) {
 	for _, id := range ids {
 		if state := d.Get(id); state != nil && !state.Leaving {
-			d.Note(id, Notice{Leaving: true, Source: SourceBox})
+			d.RecordNotice(id, Notice{Leaving: true, Source: SourceBox})
 		}
 	}
 }
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -50,7 +50,7 @@
 			var kinds [][]string
 			d.OnNotice = func(n Noted) { kinds = append(kinds, n.Kinds()) }
 			for _, n := range []Notice{{Leaving: true, Rest: time.Second}, {Leaving: true, Rest: time.Second}, {Leaving: true}, {}} {
-				d.Note("a", n)
+				d.RecordNotice("a", n)
 			}
 			Expect(kinds).To(Equal([][]string{{"leaving", "rest"}, {"rest"}}))
 		})
--- a/pkg/residency/notice_test.go
+++ b/pkg/residency/notice_test.go
@@ -45,7 +45,7 @@
 			t := newTestFleet(1, 0)
 			called := calls(t)
 			const backoff = 5 * time.Second
-			t.controller.Directory.Note("e0", fleet.Notice{Rest: backoff})
+			t.controller.Directory.RecordNotice("e0", fleet.Notice{Rest: backoff})
 			t.run(12*time.Second, "m0", "m1", "m2", "m3")
 			Expect(called("e1")).NotTo(BeEmpty())
 			Expect(called("e1")[0]).To(BeNumerically("<", backoff))
@@ -58,7 +58,7 @@
 		spectest.Bubble(func() {
 			t := newTestFleet(1, 0)
 			called := calls(t)
-			t.controller.Directory.Note("e0", fleet.Notice{Leaving: true})
+			t.controller.Directory.RecordNotice("e0", fleet.Notice{Leaving: true})
 			t.run(20*time.Second, "m0")
 			Expect(called("e0")).To(BeEmpty())
 			Expect(t.controller.Directory.OfService("s")).To(ContainElement(HaveField("Upstream.Leaving", true)))
