--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -188,8 +188,8 @@
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			core, lines := observer.New(zap.InfoLevel)
 			f.Log = zap.New(core)
-			var noted []fleet.Noted
-			f.Directory.OnNotice = func(n fleet.Noted) { noted = append(noted, n) }
+			var noted []fleet.NoticeEvent
+			f.Directory.OnNotice = func(n fleet.NoticeEvent) { noted = append(noted, n) }
 			f.Directory.RecordNotice("p0", fleet.Notice{Leaving: true, Rest: backoff})
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Kinds()).To(Equal([]string{"leaving", "rest"}))
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -33,7 +33,7 @@
 func withoutLimitReports(_ *noticeFleet, box *Node) {
 	directory := box.Gateway.Directory
 	logged := directory.OnNotice
-	directory.OnNotice = func(noted fleet.Noted) {
+	directory.OnNotice = func(noted fleet.NoticeEvent) {
 		logged(noted)
 		directory.TakeChangedLimits()
 	}
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -92,7 +92,7 @@
 // newDirectory returns a directory that counts and logs the notices of upstreams.
 func newDirectory(config Config) *fleet.Directory {
 	directory := fleet.New()
-	directory.OnNotice = func(noted fleet.Noted) {
+	directory.OnNotice = func(noted fleet.NoticeEvent) {
 		for _, kind := range noted.Kinds() {
 			config.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_upstream_notices_total{kind=%q,source=%q}", kind, noted.Source)).Inc()
 		}
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -167,7 +167,7 @@
 		n.variant.tune(n, box)
 	}
 	logged := directory.OnNotice
-	directory.OnNotice = func(noted fleet.Noted) {
+	directory.OnNotice = func(noted fleet.NoticeEvent) {
 		logged(noted)
 		if noted.Leaving {
 			n.noticeMu.Lock()
@@ -176,7 +176,7 @@
 		}
 	}
 	if n.variant.backoffForAll {
-		directory.OnNotice = func(noted fleet.Noted) {
+		directory.OnNotice = func(noted fleet.NoticeEvent) {
 			for _, other := range n.nodes {
 				if noted.Source != fleet.SourceBox && other != nil && other != box {
 					other.Gateway.Directory.RecordNotice(noted.Upstream, fleet.Notice{Rest: noted.Rest, Source: fleet.SourceBox})
--- a/pkg/fleet/cold_test.go
+++ b/pkg/fleet/cold_test.go
@@ -43,7 +43,7 @@
 		spectest.Bubble(func() {
 			d := listed(0)
 			reported := 0
-			d.OnNotice = func(Noted) { reported++ }
+			d.OnNotice = func(NoticeEvent) { reported++ }
 			d.RecordNotice("a", Notice{Cold: time.Second})
 			d.RecordNotice("a", Notice{Cold: time.Second})
 			Expect(cold(d)).To(BeTrue())
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -59,7 +59,7 @@
 	Rests Rests
 	// OnNotice, if not nil, is called with what is new in a notice, without the lock held. Set it
 	// before the first answer.
-	OnNotice func(Noted)
+	OnNotice func(NoticeEvent)
 }
 
 // New returns an empty directory.
--- a/pkg/fleet/limit.go
+++ b/pkg/fleet/limit.go
@@ -104,7 +104,7 @@
 
 func (d *Directory) applyLimitReport(report LimitReport, now time.Time) (changed bool) {
 	if changed = d.storeLimitReport(report, now); changed && d.OnNotice != nil {
-		d.OnNotice(Noted{
+		d.OnNotice(NoticeEvent{
 			Notice: Notice{Limit: report.PerSecond, Unlimited: report.PerSecond == nil, Source: SourceBox}, Upstream: report.Upstream,
 		})
 	}
--- a/pkg/fleet/limit_test.go
+++ b/pkg/fleet/limit_test.go
@@ -29,7 +29,7 @@
 		spectest.Bubble(func() {
 			d := listed()
 			var kinds []string
-			d.OnNotice = func(n Noted) { kinds = append(kinds, n.Kinds()...) }
+			d.OnNotice = func(n NoticeEvent) { kinds = append(kinds, n.Kinds()...) }
 			slow, err := d.Begin(d.Get("a").Upstream)
 			Expect(err).NotTo(HaveOccurred())
 			time.Sleep(time.Second)
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -58,8 +58,8 @@
 	ErrBackoff = errors.ConstError("upstream asked this box for rest: choose another one, or come again at its end")
 )
 
-// Noted is a notice that stated something new.
-type Noted struct {
+// NoticeEvent is a notice that stated something new.
+type NoticeEvent struct {
 	Notice
 	// Upstream is its id.
 	Upstream string
@@ -170,7 +170,7 @@
 func (d *Directory) RecordNotice(id string, n Notice) {
 	n.Unreadable = n.Unreadable[:min(len(n.Unreadable), maxUnreadableBytes)]
 	if news := d.storeNotice(id, n); !news.empty() && d.OnNotice != nil {
-		d.OnNotice(Noted{Notice: news, Upstream: id})
+		d.OnNotice(NoticeEvent{Notice: news, Upstream: id})
 	}
 }
 
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -48,7 +48,7 @@
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
 			var kinds [][]string
-			d.OnNotice = func(n Noted) { kinds = append(kinds, n.Kinds()) }
+			d.OnNotice = func(n NoticeEvent) { kinds = append(kinds, n.Kinds()) }
 			for _, n := range []Notice{{Leaving: true, Rest: time.Second}, {Leaving: true, Rest: time.Second}, {Leaving: true}, {}} {
 				d.RecordNotice("a", n)
 			}
@@ -96,8 +96,8 @@
 			d, other := listed(entry("a", 1)), listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Leaving: true})).To(Succeed())
 			Expect(d.LeavingByAnswer()).To(Equal([]string{"a"}))
-			var noted []Noted
-			other.OnNotice = func(n Noted) { noted = append(noted, n) }
+			var noted []NoticeEvent
+			other.OnNotice = func(n NoticeEvent) { noted = append(noted, n) }
 			for range 3 {
 				other.RecordLeaving([]string{"a", "unknown"})
 			}
