--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -27,7 +27,7 @@
 	name string
 	// ignoreNotices makes boxes ignore all notices.
 	ignoreNotices bool
-	backoffRules  fleet.Rests
+	backoffRules  fleet.BackoffPolicy
 	// backoffForAll makes all boxes keep a backoff that an engine asked of one box.
 	backoffForAll bool
 	// coldPerSecond is how many requests per second a cold engine can take; 0 means no bound.
--- a/internal/node/notice_ways_test.go
+++ b/internal/node/notice_ways_test.go
@@ -24,7 +24,7 @@
 const noticeLoadTime = 14 * time.Second
 
 func noticeVariants() []noticeVariant {
-	rules := func(window int, spread time.Duration) fleet.Rests {
+	rules := func(window int, spread time.Duration) fleet.BackoffPolicy {
 		policy := fleet.DefaultRests
 		policy.Window, policy.ReturnSpread = window, spread
 		return policy
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -56,7 +56,7 @@
 	changedLimits map[string]bool
 
 	// Rests sets how the backoffs that upstreams ask for are applied. Set it before the first answer.
-	Rests Rests
+	Rests BackoffPolicy
 	// OnNotice, if not nil, is called with what is new in a notice, without the lock held. Set it
 	// before the first answer.
 	OnNotice func(NoticeEvent)
--- a/pkg/fleet/rest.go
+++ b/pkg/fleet/rest.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Rests sets how boxes apply the backoffs that upstreams ask for. Logs and messages call a backoff a
+// BackoffPolicy sets how boxes apply the backoffs that upstreams ask for. Logs and messages call a backoff a
 // rest.
-type Rests struct {
+type BackoffPolicy struct {
 	// Max bounds a backoff. An upstream that asked for a longer one is tried again at that time, by one
 	// request.
 	Max time.Duration
@@ -19,7 +19,7 @@
 // DefaultRests is the policy in use. It keeps engines that all asked for a backoff at once from getting
 // all waiting requests at the same moment. An upstream that asked for more than Max is tried again by
 // one request.
-var DefaultRests = Rests{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
+var DefaultRests = BackoffPolicy{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
 
 // unlimitedWindow is the window from which on requests are not restricted any more: more than the slots
 // of engines.
@@ -35,7 +35,7 @@
 }
 
 // start returns a backoff that begins now.
-func (r Rests) start(now time.Time, asked time.Duration) backoff {
+func (r BackoffPolicy) start(now time.Time, asked time.Duration) backoff {
 	return backoff{until: now.Add(min(asked, r.Max)), window: r.Window}
 }
 
