--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -65,7 +65,7 @@
 		if raceDetector && size.boxes > raceSize.boxes {
 			size = raceSize
 		}
-		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests, coldPerSecond: coldRate}, func(n *noticeFleet) {
+		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultBackoffPolicy, coldPerSecond: coldRate}, func(n *noticeFleet) {
 			joining := max(2, size.upstreams/4)
 			for k := range joining {
 				n.joinCold(fmt.Sprint("c", k))
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -20,7 +20,7 @@
 		if raceDetector && size.boxes > raceSize.boxes {
 			size = raceSize
 		}
-		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests}, func(n *noticeFleet) {
+		withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultBackoffPolicy}, func(n *noticeFleet) {
 			n.setLimit(6, 1)
 			n.sendModelRequests(6*float64(size.upstreams), 12*time.Second)
 			n.callers.Wait()
@@ -39,7 +39,7 @@
 
 	It("can be followed by log lines alone: which limit each stated to which box in which answer, what was sent under it and when it ended", func() {
 		core, lines := observer.New(zap.InfoLevel)
-		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, noticeVariant{backoffRules: fleet.DefaultRests}, core, func(n *noticeFleet) {
+		withLoggedNoticeFleet(smallFleetSize{boxes: 7, halls: 4, upstreams: 18}, noticeVariant{backoffRules: fleet.DefaultBackoffPolicy}, core, func(n *noticeFleet) {
 			const limited = "e000"
 			ask := func(requests int) {
 				for k := range requests {
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -164,7 +164,7 @@
 
 // compareLimitVariant runs one load with one variant and prints a row of the table.
 func compareLimitVariant(size smallFleetSize, load noticeLoad, variant limitVariant) {
-	withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultRests, ignoreNotices: variant.ignoreNotices, tune: variant.tune}, func(n *noticeFleet) {
+	withNoticeFleet(size, noticeVariant{backoffRules: fleet.DefaultBackoffPolicy, ignoreNotices: variant.ignoreNotices, tune: variant.tune}, func(n *noticeFleet) {
 		load.play(n, 6*float64(size.upstreams))
 		n.callers.Wait()
 		count := n.countLimited(func(int) bool { return false })
--- a/internal/node/notice_test.go
+++ b/internal/node/notice_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("engines that state in their answers that they leave, or ask for a backoff", func() {
-	variant := noticeVariant{backoffRules: fleet.DefaultRests}
+	variant := noticeVariant{backoffRules: fleet.DefaultBackoffPolicy}
 	sizes := func(size smallFleetSize, f func(*noticeFleet, float64)) {
 		if size.boxes > *crashBoxes {
 			Skip("more boxes than -crash-boxes")
--- a/internal/node/notice_ways_test.go
+++ b/internal/node/notice_ways_test.go
@@ -25,12 +25,12 @@
 
 func noticeVariants() []noticeVariant {
 	rules := func(window int, spread time.Duration) fleet.BackoffPolicy {
-		policy := fleet.DefaultRests
+		policy := fleet.DefaultBackoffPolicy
 		policy.Window, policy.ReturnSpread = window, spread
 		return policy
 	}
 	return []noticeVariant{
-		{name: "not read", ignoreNotices: true, backoffRules: fleet.DefaultRests},
+		{name: "not read", ignoreNotices: true, backoffRules: fleet.DefaultBackoffPolicy},
 		{name: "each box, back at once", backoffRules: rules(0, 0)},
 		{name: "each box, window 1", backoffRules: rules(1, 0)},
 		{name: "each box, window 1, callers 0.25 s", backoffRules: rules(1, 250*time.Millisecond)},
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -80,7 +80,7 @@
 
 		changedLimits: map[string]bool{},
 
-		Rests: DefaultRests,
+		Rests: DefaultBackoffPolicy,
 	}
 }
 
--- a/pkg/fleet/rest.go
+++ b/pkg/fleet/rest.go
@@ -16,10 +16,10 @@
 	ReturnSpread time.Duration
 }
 
-// DefaultRests is the policy in use. It keeps engines that all asked for a backoff at once from getting
+// DefaultBackoffPolicy is the policy in use. It keeps engines that all asked for a backoff at once from getting
 // all waiting requests at the same moment. An upstream that asked for more than Max is tried again by
 // one request.
-var DefaultRests = BackoffPolicy{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
+var DefaultBackoffPolicy = BackoffPolicy{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
 
 // unlimitedWindow is the window from which on requests are not restricted any more: more than the slots
 // of engines.
