--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -162,7 +162,7 @@
 // tuneBox applies the variant to a box and records when the box learns of an engine that it leaves.
 func (n *noticeFleet) tuneBox(box *Node) {
 	directory := box.Gateway.Directory
-	directory.Rests = n.variant.backoffRules
+	directory.BackoffPolicy = n.variant.backoffRules
 	if n.variant.tune != nil {
 		n.variant.tune(n, box)
 	}
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -55,8 +55,8 @@
 	// changedLimits holds the upstreams whose rate limits are to be reported to other boxes.
 	changedLimits map[string]bool
 
-	// Rests sets how the backoffs that upstreams ask for are applied. Set it before the first answer.
-	Rests BackoffPolicy
+	// BackoffPolicy sets how the backoffs that upstreams ask for are applied. Set it before the first answer.
+	BackoffPolicy BackoffPolicy
 	// OnNotice, if not nil, is called with what is new in a notice, without the lock held. Set it
 	// before the first answer.
 	OnNotice func(NoticeEvent)
@@ -80,7 +80,7 @@
 
 		changedLimits: map[string]bool{},
 
-		Rests: DefaultBackoffPolicy,
+		BackoffPolicy: DefaultBackoffPolicy,
 	}
 }
 
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -193,7 +193,7 @@
 		known.leavingAt = now
 	}
 	if n.Rest > 0 {
-		known.backoff = d.Rests.start(now, n.Rest)
+		known.backoff = d.BackoffPolicy.start(now, n.Rest)
 	}
 	news.Limit, news.Unlimited = known.updateLimit(now, n)
 	if news.Limit != nil || news.Unlimited {
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -128,8 +128,8 @@
 			d := listed(entry("a", 1))
 			Expect(send(d, "a", Notice{Rest: asked})).To(Succeed())
 			until, _ := d.InBackoff("a")
-			Expect(time.Until(until)).To(BeNumerically("<=", d.Rests.Max))
-			time.Sleep(d.Rests.Max)
+			Expect(time.Until(until)).To(BeNumerically("<=", d.BackoffPolicy.Max))
+			time.Sleep(d.BackoffPolicy.Max)
 			Expect(send(d, "a", Notice{})).To(Succeed())
 		})
 	},
