--- a/internal/box/engine_runs.go
+++ b/internal/box/engine_runs.go
@@ -37,7 +37,7 @@
 // run sends a request to an engine as run d.id, and resumes the run there when its stream breaks off. It returns the
 // errors of internal/engine.
 func (e *engineRuns) run(ctx context.Context, r *modelRequest, id string, d *delivery) error {
-	ended := e.router.Sent(r.item, r.message.GetPrompt(), id)
+	ended := e.router.RecordSent(r.item, r.message.GetPrompt(), id)
 	defer ended()
 	client := e.client(id)
 	begun := time.Now()
--- a/internal/box/service_once.go
+++ b/internal/box/service_once.go
@@ -80,7 +80,7 @@
 func (o *serviceOnce) sendClaimed(ctx context.Context, own claims.Claim) (reclaim bool, refused *refusal) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), durationOf(o.call.service.Timeout))
 	defer cancel()
-	ended := o.router.Sent(o.call.fullName, "", o.upstream.ID)
+	ended := o.router.RecordSent(o.call.fullName, "", o.upstream.ID)
 	defer ended()
 	answer, err := o.readAnswer(ctx)
 	if err == nil {
--- a/internal/box/service_repeatable.go
+++ b/internal/box/service_repeatable.go
@@ -26,7 +26,7 @@
 			s.refuse(w, c, refused)
 			return
 		}
-		ended := s.router.Sent(c.fullName, "", upstream.ID)
+		ended := s.router.RecordSent(c.fullName, "", upstream.ID)
 		response, err := s.send(ctx, s.repeatableClient, c, upstream)
 		if err == nil {
 			s.copyAnswer(w, c, response)
--- a/pkg/routing/bench_test.go
+++ b/pkg/routing/bench_test.go
@@ -25,7 +25,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				router.Sent("m", prompt, choice.ID)()
+				router.RecordSent("m", prompt, choice.ID)()
 			}
 		})
 	}
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -65,9 +65,9 @@
 	return record
 }
 
-// Sent records that a request is sent. The function that it returns records the end of the request;
+// RecordSent records that a request is sent. The function that it returns records the end of the request;
 // only its first call counts.
-func (r *Router) Sent(model, prompt, upstream string) func() {
+func (r *Router) RecordSent(model, prompt, upstream string) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record := r.record(upstream)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -66,7 +66,7 @@
 			list := candidates(0, 0)
 			list[0].PeersSent = 1
 			time.Sleep(time.Millisecond)
-			router.Sent("m", "", "e0")
+			router.RecordSent("m", "", "e0")
 			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e1": 100}))
 			// A newer report includes what was sent before, but this box's own request is still in flight.
 			Expect(countPicks(router, "", candidates(0, 0))).To(HaveLen(2))
@@ -77,7 +77,7 @@
 		spectest.Bubble(func() {
 			list := candidates(9, 0)
 			list[0].Boxes, list[1].Boxes = 4, 4
-			router.Sent("m", "", "e1")
+			router.RecordSent("m", "", "e1")
 			time.Sleep(10 * time.Second)
 			Expect(countPicks(router, "", list)).To(Equal(map[string]int{"e1": 100}))
 			time.Sleep(time.Nanosecond)
@@ -88,7 +88,7 @@
 	It("sends prompts that share a prefix where it is cached, until waiting there costs more", func() {
 		spectest.Bubble(func() {
 			prompt := strings.Repeat("x", 1024)
-			router.Sent("m", prompt, "e0")()
+			router.RecordSent("m", prompt, "e0")()
 			Expect(countPicks(router, prompt, candidates(0, 0))).To(Equal(map[string]int{"e0": 100}))
 			Expect(countPicks(router, prompt, candidates(2, 0))).To(Equal(map[string]int{"e1": 100}))
 			Expect(countPicks(router, strings.Repeat("y", 1024), candidates(0, 0))).To(HaveLen(2))
@@ -117,9 +117,9 @@
 
 	It("counts all that it sent, and forgets engines that are gone once they are idle", func() {
 		spectest.Bubble(func() {
-			first := router.Sent("m", "", "e0")
-			router.Sent("m", "", "e0")()
-			router.Sent("m", "", "e1")
+			first := router.RecordSent("m", "", "e0")
+			router.RecordSent("m", "", "e0")()
+			router.RecordSent("m", "", "e1")
 			Expect(router.Totals()).To(Equal(map[string]int64{"e0": 2, "e1": 1}))
 			keepNone := func(string) bool { return false }
 			router.Forget(keepNone)
