--- a/internal/box/engine_runs.go
+++ b/internal/box/engine_runs.go
@@ -92,7 +92,7 @@
 		}
 	case errors.Is(err, engine.ErrNotStarted) && !engine.IsDialError(err):
 	default:
-		e.router.Failed(id, avoidDuration)
+		e.router.Avoid(id, avoidDuration)
 	}
 }
 
--- a/internal/box/service_once.go
+++ b/internal/box/service_once.go
@@ -88,7 +88,7 @@
 		o.answer = answer
 		return false, nil
 	}
-	o.router.Failed(o.upstream.ID, avoidDuration)
+	o.router.Avoid(o.upstream.ID, avoidDuration)
 	if engine.IsDialError(err) {
 		o.claimed.outcomes.end(own.RequestID, peer.RunNotRun, nil)
 		return o.claimed.release(ctx, o.request, own.RequestID)
--- a/internal/box/service_repeatable.go
+++ b/internal/box/service_repeatable.go
@@ -35,7 +35,7 @@
 		}
 		ended()
 		mayHaveRun = mayHaveRun || !engine.IsDialError(err)
-		s.router.Failed(upstream.ID, avoidDuration)
+		s.router.Avoid(upstream.ID, avoidDuration)
 		if ctx.Err() != nil || !mayTryAnother(attempt, false, s.retries) {
 			s.refuse(w, c, attemptsExhausted(mayHaveRun))
 			return
--- a/pkg/routing/router.go
+++ b/pkg/routing/router.go
@@ -119,8 +119,8 @@
 	return r.config.SlotTime
 }
 
-// Failed marks an upstream to be avoided for a while: it is picked only if all others are avoided too.
-func (r *Router) Failed(upstream string, avoid time.Duration) {
+// Avoid marks an upstream to be avoided for a while: it is picked only if all others are avoided too.
+func (r *Router) Avoid(upstream string, avoid time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record(upstream).avoidUntil = time.Now().Add(avoid)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -107,7 +107,7 @@
 
 	It("avoids a failed engine for a while, unless there is no other", func() {
 		spectest.Bubble(func() {
-			router.Failed("e0", time.Second)
+			router.Avoid("e0", time.Second)
 			Expect(countPicks(router, "", candidates(0, 9))).To(Equal(map[string]int{"e1": 100}))
 			Expect(countPicks(router, "", candidates(0))).To(Equal(map[string]int{"e0": 100}))
 			time.Sleep(time.Second)
