--- a/internal/box/model_repeatable.go
+++ b/internal/box/model_repeatable.go
@@ -13,7 +13,7 @@
 //   - An engine's broken answer is first resumed, and a streamed answer of which the caller has seen a part cannot be
 //     begun again.
 func (s *modelServer) serveRepeatable(ctx context.Context, r *modelRequest, d *delivery) *refusal {
-	s.retries.Request()
+	s.retries.RecordRequest()
 	picked, refused := s.choose(r)
 	if refused != nil {
 		return refused
--- a/internal/box/service_repeatable.go
+++ b/internal/box/service_repeatable.go
@@ -18,7 +18,7 @@
 func (s *serviceProxy) serveRepeatable(w http.ResponseWriter, c *serviceCall) {
 	ctx, cancel := context.WithTimeout(c.request.Context(), durationOf(c.service.Timeout))
 	defer cancel()
-	s.retries.Request()
+	s.retries.RecordRequest()
 	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
 		upstream, refused := s.choose(c)
--- a/pkg/routing/budget.go
+++ b/pkg/routing/budget.go
@@ -34,8 +34,8 @@
 	return &RetryBudget{share: share, minimum: rate.NewLimiter(minRetriesPerSecond, retryBurst)}
 }
 
-// Request records a request's first attempt.
-func (b *RetryBudget) Request() {
+// RecordRequest records a request's first attempt.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(retryBurst, b.tokens+b.share)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -150,7 +150,7 @@
 			// The burst of the minimum.
 			Expect(allowed(budget, 100)).To(Equal(10))
 			for range 45 {
-				budget.Request()
+				budget.RecordRequest()
 			}
 			Expect(allowed(budget, 100)).To(Equal(4))
 			time.Sleep(3 * time.Second)
@@ -162,7 +162,7 @@
 		spectest.Bubble(func() {
 			budget := routing.NewRetryBudget(0.1)
 			for range 1000 {
-				budget.Request()
+				budget.RecordRequest()
 			}
 			Expect(allowed(budget, 100)).To(Equal(20))
 		})
