--- a/internal/box/retry.go
+++ b/internal/box/retry.go
@@ -20,5 +20,5 @@
 // confirmed that it did no work for the request: another attempt then adds no load and takes nothing from the
 // budget.
 func mayTryAnother(attempt int, costless bool, budget *routing.RetryBudget) bool {
-	return attempt < maxAttempts && (costless || budget.Retry())
+	return attempt < maxAttempts && (costless || budget.TryRetry())
 }
--- a/pkg/routing/budget.go
+++ b/pkg/routing/budget.go
@@ -41,8 +41,8 @@
 	b.tokens = min(retryBurst, b.tokens+b.share)
 }
 
-// Retry takes one retry from the budget and reports whether there was one left.
-func (b *RetryBudget) Retry() bool {
+// TryRetry takes one retry from the budget and reports whether there was one left.
+func (b *RetryBudget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens >= 1 {
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -137,7 +137,7 @@
 	allowed := func(budget *routing.RetryBudget, asked int) int {
 		n := 0
 		for range asked {
-			if budget.Retry() {
+			if budget.TryRetry() {
 				n++
 			}
 		}
