--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -30,7 +30,7 @@
 // Ask requests a grant from the keeper of an upstream, which may be this box. If the keeper does not answer, the
 // hall's relay grants from the hall's share of the limit. A cold engine, which is cold for some seconds only, then
 // gets nothing from this box. The error is errKeeperLost or that of the call.
-func (r *Rates) Ask(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
+func (r *Rates) Ask(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if reports := r.Directory.LimitReports([]string{ask.Engine}); len(reports) > 0 {
 		ask.Limit = &reports[0]
 	}
@@ -45,7 +45,7 @@
 	return grant, err
 }
 
-func (r *Rates) askBox(ctx context.Context, keeper Box, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
+func (r *Rates) askBox(ctx context.Context, keeper Box, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if keeper.Name == r.Members.self.Name {
 		return r.answer(ctx, ask)
 	}
@@ -55,7 +55,7 @@
 
 // answer grants a request from an account that this box keeps, by the latest limit of the upstream that either box
 // knows.
-func (r *Rates) answer(_ context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
+func (r *Rates) answer(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if ask.Limit != nil {
 		r.Directory.ApplyLimitReports([]fleet.LimitReport{*ask.Limit})
 	}
@@ -72,7 +72,7 @@
 }
 
 // share returns the share of all boxes that an account is for.
-func (r *Rates) share(ask dispatch.RateAsk, now time.Time) float64 {
+func (r *Rates) share(ask dispatch.RateRequest, now time.Time) float64 {
 	if ask.Hall {
 		return r.Members.hallShare(now)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,7 @@
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
 	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
 	// must be set.
-	AskRate func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error)
+	AskRate func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error)
 	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
 	// Quarantine holds what is known of requests under which upstreams crashed.
@@ -78,7 +78,7 @@
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
 	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
 	// must be set.
-	AskRate func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error)
+	AskRate func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error)
 	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
 	// Quarantine holds what is known of requests under which upstreams crashed. nil creates a register that only
--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -60,7 +60,7 @@
 	if !bound.Any() {
 		return true
 	}
-	ask := dispatch.RateAsk{Engine: id}
+	ask := dispatch.RateRequest{Engine: id}
 	if bound.Cold {
 		ask.ColdPerSecond = r.rate.coldPerSecond
 	}
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -27,7 +27,7 @@
 }
 
 // askRateFunc asks whether a box may send a request to an engine with a limit.
-type askRateFunc = func(context.Context, dispatch.RateAsk) (dispatch.RateGrant, error)
+type askRateFunc = func(context.Context, dispatch.RateRequest) (dispatch.RateGrant, error)
 
 // withoutLimitReports stops a box from reporting limits to other boxes, except to the keepers that it asks.
 func withoutLimitReports(_ *noticeFleet, box *Node) {
@@ -43,7 +43,7 @@
 // may send.
 func ownAccounts(box *Node, share float64) askRateFunc {
 	accounts := dispatch.NewRateAccounts(coldTolerance)
-	return func(_ context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
+	return func(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 		reports := box.Gateway.Directory.LimitReports([]string{ask.Engine})
 		if len(reports) == 0 {
 			return dispatch.RateGrant{Granted: true}, nil
@@ -78,7 +78,7 @@
 		if fallback != nil {
 			askFallback = fallback(n, box)
 		}
-		box.Gateway.AskRate = func(ctx context.Context, ask dispatch.RateAsk) (dispatch.RateGrant, error) {
+		box.Gateway.AskRate = func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 			switch {
 			case !n.keeperUnreachable(box, ask.Engine):
 				return askKeeper(ctx, ask)
--- a/pkg/dispatch/rates.go
+++ b/pkg/dispatch/rates.go
@@ -16,8 +16,8 @@
 	Overage, Slack float64
 }
 
-// RateAsk asks for permission to send one request to an upstream whose request rate over all boxes is limited.
-type RateAsk struct {
+// RateRequest asks for permission to send one request to an upstream whose request rate over all boxes is limited.
+type RateRequest struct {
 	Engine string `json:"engine"`
 	// ColdPerSecond is the rate that a cold engine of the service can take; 0 if the upstream is not cold.
 	ColdPerSecond float64 `json:"perSecond"`
@@ -27,7 +27,7 @@
 	Hall bool `json:"hall,omitempty"`
 }
 
-// RateGrant is the response to a RateAsk.
+// RateGrant is the response to a RateRequest.
 type RateGrant struct {
 	// Granted means that one request may be sent within RateGrantTTL.
 	Granted bool `json:"granted"`
@@ -98,7 +98,7 @@
 
 // bound returns the rate at which requests may be granted and how many at once. Both are infinite if the limit
 // has ended and the upstream is not cold.
-func (t ColdTolerance) bound(ask RateAsk) (perSecond, burst float64) {
+func (t ColdTolerance) bound(ask RateRequest) (perSecond, burst float64) {
 	perSecond, burst = math.Inf(1), math.Inf(1)
 	if limit := ask.Limit; limit != nil && limit.PerSecond != nil {
 		perSecond = max(minLimitRate, *limit.PerSecond)
@@ -112,7 +112,7 @@
 
 // Ask takes one request from an upstream's account, or denies it. share is the fraction of all boxes that the
 // account serves; during a network partition the shares of both sides add up to 1.
-func (c *RateAccounts) Ask(ask RateAsk, share float64, now time.Time) RateGrant {
+func (c *RateAccounts) Ask(ask RateRequest, share float64, now time.Time) RateGrant {
 	rate, burst := c.tolerance.bound(ask)
 	if math.IsInf(rate, 1) {
 		return RateGrant{Granted: true}
--- a/pkg/dispatch/rates_test.go
+++ b/pkg/dispatch/rates_test.go
@@ -63,14 +63,14 @@
 			accounts[box] = NewRateAccounts(tolerance)
 		}
 		return func(box int, now time.Time) RateGrant {
-			return accounts[box].Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
+			return accounts[box].Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
 		}
 	}
 	// oneKeeper is what the software does: one box grants for all.
 	oneKeeper := func(int) grantFunc {
 		keeper := NewRateAccounts(tolerance)
 		return func(_ int, now time.Time) RateGrant {
-			return keeper.Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1, now)
+			return keeper.Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now)
 		}
 	}
 	// keeperPerSide has one keeper on each side of a network partition, with a third of the boxes on one side.
@@ -81,7 +81,7 @@
 			if box < boxes/3 {
 				side, share = 1, 1.0/3
 			}
-			return sides[side].Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, share, now)
+			return sides[side].Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, share, now)
 		}
 	}
 
@@ -102,10 +102,10 @@
 	It("are not granted by a keeper that has just taken over, or for an engine that can take none", func() {
 		keeper := NewRateAccounts(tolerance)
 		now := time.Unix(1000, 0)
-		Expect(keeper.Ask(RateAsk{Engine: "e", ColdPerSecond: rate}, 1, now).Granted).To(BeFalse())
+		Expect(keeper.Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now).Granted).To(BeFalse())
 		for range 100 {
 			now = now.Add(time.Second)
-			grant := keeper.Ask(RateAsk{Engine: "f"}, 1, now)
+			grant := keeper.Ask(RateRequest{Engine: "f"}, 1, now)
 			Expect(grant.Granted).To(BeFalse())
 			Expect(grant.Wait).To(BeNumerically(">", 0))
 		}
@@ -116,7 +116,7 @@
 		now := time.Unix(1000, 0)
 		for n := range 1000 {
 			now = now.Add(time.Second)
-			keeper.Ask(RateAsk{Engine: string(rune('a' + n%20)), ColdPerSecond: rate}, 1, now)
+			keeper.Ask(RateRequest{Engine: string(rune('a' + n%20)), ColdPerSecond: rate}, 1, now)
 		}
 		Expect(len(keeper.accounts)).To(BeNumerically("<=", 20))
 	})
@@ -124,8 +124,8 @@
 
 var _ = Describe("requests of many boxes to an upstream that names a limit", func() {
 	const window, overage, slack = 4 * time.Second, 1.5, 5
-	ask := func(perSecond float64) RateAsk {
-		return RateAsk{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e", PerSecond: &perSecond}}
+	ask := func(perSecond float64) RateRequest {
+		return RateRequest{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e", PerSecond: &perSecond}}
 	}
 	// maxInWindow returns the highest number of requests within a window.
 	maxInWindow := func(sent []time.Duration) (worst int) {
@@ -230,7 +230,7 @@
 		}
 		Expect(granted).To(BeNumerically("<=", 31))
 		for range 100 {
-			Expect(accounts.Ask(RateAsk{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e"}}, 0.01, now).Granted).To(BeTrue())
+			Expect(accounts.Ask(RateRequest{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e"}}, 0.01, now).Granted).To(BeTrue())
 		}
 	})
 })
