--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -64,7 +64,7 @@
 		ask.Limit = &known[0]
 	}
 	now := time.Now()
-	grant := r.Kept.Ask(ask, r.share(ask, now), now)
+	grant := r.Kept.Take(ask, r.share(ask, now), now)
 	if len(known) > 0 {
 		grant.Limit = &known[0]
 	}
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -49,7 +49,7 @@
 			return dispatch.RateGrant{Granted: true}, nil
 		}
 		ask.Limit = &reports[0]
-		return accounts.Ask(ask, share, time.Now()), nil
+		return accounts.Take(ask, share, time.Now()), nil
 	}
 }
 
--- a/pkg/dispatch/rates.go
+++ b/pkg/dispatch/rates.go
@@ -110,9 +110,9 @@
 	return perSecond, burst
 }
 
-// Ask takes one request from an upstream's account, or denies it. share is the fraction of all boxes that the
+// Take takes one request from an upstream's account, or denies it. share is the fraction of all boxes that the
 // account serves; during a network partition the shares of both sides add up to 1.
-func (c *RateAccounts) Ask(ask RateRequest, share float64, now time.Time) RateGrant {
+func (c *RateAccounts) Take(ask RateRequest, share float64, now time.Time) RateGrant {
 	rate, burst := c.tolerance.bound(ask)
 	if math.IsInf(rate, 1) {
 		return RateGrant{Granted: true}
--- a/pkg/dispatch/rates_test.go
+++ b/pkg/dispatch/rates_test.go
@@ -63,14 +63,14 @@
 			accounts[box] = NewRateAccounts(tolerance)
 		}
 		return func(box int, now time.Time) RateGrant {
-			return accounts[box].Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
+			return accounts[box].Take(RateRequest{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
 		}
 	}
 	// oneKeeper is what the software does: one box grants for all.
 	oneKeeper := func(int) grantFunc {
 		keeper := NewRateAccounts(tolerance)
 		return func(_ int, now time.Time) RateGrant {
-			return keeper.Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now)
+			return keeper.Take(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now)
 		}
 	}
 	// keeperPerSide has one keeper on each side of a network partition, with a third of the boxes on one side.
@@ -81,7 +81,7 @@
 			if box < boxes/3 {
 				side, share = 1, 1.0/3
 			}
-			return sides[side].Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, share, now)
+			return sides[side].Take(RateRequest{Engine: "e", ColdPerSecond: rate}, share, now)
 		}
 	}
 
@@ -102,10 +102,10 @@
 	It("are not granted by a keeper that has just taken over, or for an engine that can take none", func() {
 		keeper := NewRateAccounts(tolerance)
 		now := time.Unix(1000, 0)
-		Expect(keeper.Ask(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now).Granted).To(BeFalse())
+		Expect(keeper.Take(RateRequest{Engine: "e", ColdPerSecond: rate}, 1, now).Granted).To(BeFalse())
 		for range 100 {
 			now = now.Add(time.Second)
-			grant := keeper.Ask(RateRequest{Engine: "f"}, 1, now)
+			grant := keeper.Take(RateRequest{Engine: "f"}, 1, now)
 			Expect(grant.Granted).To(BeFalse())
 			Expect(grant.Wait).To(BeNumerically(">", 0))
 		}
@@ -116,7 +116,7 @@
 		now := time.Unix(1000, 0)
 		for n := range 1000 {
 			now = now.Add(time.Second)
-			keeper.Ask(RateRequest{Engine: string(rune('a' + n%20)), ColdPerSecond: rate}, 1, now)
+			keeper.Take(RateRequest{Engine: string(rune('a' + n%20)), ColdPerSecond: rate}, 1, now)
 		}
 		Expect(len(keeper.accounts)).To(BeNumerically("<=", 20))
 	})
@@ -154,7 +154,7 @@
 			if now.Before(next[box]) {
 				continue
 			}
-			grant := account.Ask(ask(limit(at)), share, now)
+			grant := account.Take(ask(limit(at)), share, now)
 			if !grant.Granted {
 				next[box] = now.Add(grant.Wait)
 				continue
@@ -224,13 +224,13 @@
 		granted := 0
 		for range 1000 {
 			now = now.Add(10 * time.Millisecond)
-			if accounts.Ask(cold, 1, now).Granted {
+			if accounts.Take(cold, 1, now).Granted {
 				granted++
 			}
 		}
 		Expect(granted).To(BeNumerically("<=", 31))
 		for range 100 {
-			Expect(accounts.Ask(RateRequest{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e"}}, 0.01, now).Granted).To(BeTrue())
+			Expect(accounts.Take(RateRequest{Engine: "e", Limit: &fleet.LimitReport{Upstream: "e"}}, 0.01, now).Granted).To(BeTrue())
 		}
 	})
 })
