--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,8 +71,8 @@
 	Regions map[string]string
 	// Ensure asks the order holder to load an adapter or model.
 	Ensure func(ctx context.Context, want residency.Want) (residency.EnsureResult, error)
-	// Note records requested work per model, in milliseconds of engine time.
-	Note func(work map[residency.WorkKey]float64)
+	// RecordDemand records requested work per model, in milliseconds of engine time.
+	RecordDemand func(work map[residency.WorkKey]float64)
 	// Reserve reserves engine time for reading a prompt. If it is nil or returns an error, requests are placed by
 	// the reported loads alone.
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
@@ -107,7 +107,7 @@
 		Upstreams:    config.Upstreams,
 		Regions:      config.Regions,
 		Ensure:       config.Ensure,
-		RecordDemand: config.Note,
+		RecordDemand: config.RecordDemand,
 		Reserve:      config.Reserve,
 		AskRate:      config.AskRate,
 		Quotas:       config.Quotas,
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -170,16 +170,16 @@
 func newGateway(config Config, s shared, ensurer *cluster.Ensurer, spender *customers.Spender, reservations *cluster.Reservations,
 	rates *cluster.Rates) *gateway.Gateway {
 	return gateway.New(gateway.Config{
-		Directory: s.directory,
-		Loads:     s.loads,
-		Chooser:   &dispatch.Chooser{Loads: s.loads, Hall: config.Hall},
-		Upstreams: config.Upstreams,
-		Regions:   config.Regions,
-		Ensure:    ensurer.Ensure,
-		Note:      s.pending.NoteWork,
-		Reserve:   reservations.Reserve,
-		AskRate:   rates.Ask,
-		Quotas:    gateway.Quotas{Take: spender.Take, Return: spender.Return},
+		Directory:    s.directory,
+		Loads:        s.loads,
+		Chooser:      &dispatch.Chooser{Loads: s.loads, Hall: config.Hall},
+		Upstreams:    config.Upstreams,
+		Regions:      config.Regions,
+		Ensure:       ensurer.Ensure,
+		RecordDemand: s.pending.NoteWork,
+		Reserve:      reservations.Reserve,
+		AskRate:      rates.Ask,
+		Quotas:       gateway.Quotas{Take: spender.Take, Return: spender.Return},
 
 		Quarantine: s.quarantine,
 
