--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -31,7 +31,7 @@
 // that stops sending for bodyStallTimeout. It writes the headers of a refusal, but not its status.
 func (g *Gateway) ReadBody(w http.ResponseWriter, r *http.Request) Body {
 	if r.Body == nil || r.ContentLength == 0 {
-		return Body{memory: g.Holdings}
+		return Body{memory: g.CallerMemory}
 	}
 	reader := r.Body
 	if table := g.Table(); table != nil && table.Limits.MaxBodyBytes > 0 {
@@ -41,12 +41,12 @@
 	// from the connection after the body.
 	stalled := time.AfterFunc(bodyStallTimeout, func() { _ = http.NewResponseController(w).SetReadDeadline(time.Now()) })
 	defer stalled.Stop()
-	body := Body{memory: g.Holdings}
+	body := Body{memory: g.CallerMemory}
 	for {
 		chunk := make([]byte, min(bodyChunkSize, max(512, cap(body.Bytes))))
 		n, err := reader.Read(chunk)
 		stalled.Reset(bodyStallTimeout)
-		if n > 0 && !g.Holdings.Reserve(int64(n)) {
+		if n > 0 && !g.CallerMemory.Reserve(int64(n)) {
 			return g.refuseBody(w, &body, http.StatusServiceUnavailable)
 		}
 		body.Bytes = append(body.Bytes, chunk[:n]...)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,10 +42,10 @@
 	Quotas Quotas
 	// Quarantine holds what is known of requests under which upstreams crashed.
 	Quarantine *quarantine.Register
-	// Holdings limits the memory that this box uses for callers' bodies and answers. nil sets no limit.
-	Holdings *MemoryBudget
-	Log      *zap.Logger
-	Metrics  *metrics.Set
+	// CallerMemory limits the memory that this box uses for callers' bodies and answers. nil sets no limit.
+	CallerMemory *MemoryBudget
+	Log          *zap.Logger
+	Metrics      *metrics.Set
 
 	budget *retryBudget
 	uses   modelUses
@@ -112,7 +112,7 @@
 		AskRate:      config.AskRate,
 		Quotas:       config.Quotas,
 		Quarantine:   config.Quarantine,
-		Holdings:     NewMemoryBudget(config.MemoryBytes),
+		CallerMemory: NewMemoryBudget(config.MemoryBytes),
 		Log:          config.Log,
 		Metrics:      config.Metrics,
 		budget:       newRetryBudget(config.Retries, config.Boxes),
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -91,7 +91,7 @@
 		chunk := make([]byte, min(bodyChunkSize, max(bytes.MinRead, len(buffered.body))))
 		n, err := answer.Body.Read(chunk)
 		buffered.body = append(buffered.body, chunk[:n]...)
-		taken := r.gateway.Holdings.Reserve(int64(n))
+		taken := r.gateway.CallerMemory.Reserve(int64(n))
 		if taken {
 			r.bufferedBytes += int64(n)
 		}
@@ -111,7 +111,7 @@
 }
 
 // releaseBuffered returns the memory of the request's buffered answers to the box's budget.
-func (r *inflight) releaseBuffered() { r.gateway.Holdings.Release(r.bufferedBytes) }
+func (r *inflight) releaseBuffered() { r.gateway.CallerMemory.Release(r.bufferedBytes) }
 
 // discard reads and drops an answer, so that its connection can be reused. An error is not logged: it only costs
 // the connection.
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -44,7 +44,7 @@
 func withSlowFixture(memoryBytes int64, f func(*slowFixture)) {
 	spectest.Bubble(func() {
 		s := &slowFixture{fixture: newFixture(func(string, int) behavior { return succeeds }, 1), ended: make(chan time.Time, 1000)}
-		s.Holdings = NewMemoryBudget(memoryBytes)
+		s.CallerMemory = NewMemoryBudget(memoryBytes)
 		// The timeout is long, so that no deadline ends a request before its caller does.
 		table := *s.Table()
 		list := append([]routes.Route{}, table.Routes...)
@@ -121,7 +121,7 @@
 			for range callers {
 				Expect((<-s.ended).Sub(begun)).To(BeNumerically("~", writeStallTimeout, time.Second))
 			}
-			Expect(s.Holdings.Held()).To(BeZero())
+			Expect(s.CallerMemory.Held()).To(BeZero())
 		})
 	})
 
@@ -145,12 +145,12 @@
 			conn := s.send("/once/x", "", 50_000, strings.Repeat("x", 100))
 			defer func() { _ = conn.Close() }()
 			time.Sleep(time.Second)
-			Expect(s.Holdings.Held()).To(Equal(int64(100)))
+			Expect(s.CallerMemory.Held()).To(Equal(int64(100)))
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusRequestTimeout))
 			Expect(time.Since(begun)).To(BeNumerically("~", bodyStallTimeout, 100*time.Millisecond))
-			Expect(s.Holdings.Held()).To(BeZero())
+			Expect(s.CallerMemory.Held()).To(BeZero())
 			Expect(s.upstreams.sentTo).To(BeEmpty())
 		})
 	})
@@ -186,13 +186,13 @@
 	It("counts buffered answers until their end, and has answers that exceed it passed on at once", func() {
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
-			f.Holdings = NewMemoryBudget(1)
-			Expect(f.Holdings.Reserve(maxBufferedAnswer)).To(BeTrue())
-			Expect(f.Holdings.Reserve(1)).To(BeFalse())
+			f.CallerMemory = NewMemoryBudget(1)
+			Expect(f.CallerMemory.Reserve(maxBufferedAnswer)).To(BeTrue())
+			Expect(f.CallerMemory.Reserve(1)).To(BeFalse())
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(got.Code).To(Equal(http.StatusOK))
 			Expect(got.Body.String()).To(Equal(plainBody))
-			Expect(f.Holdings.Held()).To(Equal(int64(maxBufferedAnswer)))
+			Expect(f.CallerMemory.Held()).To(Equal(int64(maxBufferedAnswer)))
 		})
 	})
 
