--- a/internal/gateway/holdings.go
+++ b/internal/gateway/holdings.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Held returns the number of bytes in use.
-func (b *MemoryBudget) Held() int64 {
+// Used returns the number of bytes in use.
+func (b *MemoryBudget) Used() int64 {
 	if b == nil {
 		return 0
 	}
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -121,7 +121,7 @@
 			for range callers {
 				Expect((<-s.ended).Sub(begun)).To(BeNumerically("~", writeStallTimeout, time.Second))
 			}
-			Expect(s.CallerMemory.Held()).To(BeZero())
+			Expect(s.CallerMemory.Used()).To(BeZero())
 		})
 	})
 
@@ -145,12 +145,12 @@
 			conn := s.send("/once/x", "", 50_000, strings.Repeat("x", 100))
 			defer func() { _ = conn.Close() }()
 			time.Sleep(time.Second)
-			Expect(s.CallerMemory.Held()).To(Equal(int64(100)))
+			Expect(s.CallerMemory.Used()).To(Equal(int64(100)))
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusRequestTimeout))
 			Expect(time.Since(begun)).To(BeNumerically("~", bodyStallTimeout, 100*time.Millisecond))
-			Expect(s.CallerMemory.Held()).To(BeZero())
+			Expect(s.CallerMemory.Used()).To(BeZero())
 			Expect(s.upstreams.sentTo).To(BeEmpty())
 		})
 	})
@@ -192,7 +192,7 @@
 			got := f.ask(context.Background(), "r", "/safe/x", "")
 			Expect(got.Code).To(Equal(http.StatusOK))
 			Expect(got.Body.String()).To(Equal(plainBody))
-			Expect(f.CallerMemory.Held()).To(Equal(int64(maxBufferedAnswer)))
+			Expect(f.CallerMemory.Used()).To(Equal(int64(maxBufferedAnswer)))
 		})
 	})
 
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -70,7 +70,7 @@
 	n.Gateway = newGateway(config, s, ensurer, n.spender, reservations, rates)
 	n.view = n.newView(config, s)
 	n.exchange = n.newExchange(config, s)
-	config.Set.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.CallerMemory.Held()) })
+	config.Set.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.CallerMemory.Used()) })
 	config.Set.NewGauge("ospreymoor_evacuated_requests", func() float64 { return evacuatedRequests(s) })
 	n.holdRecorder = &storeview.HoldRecorder{
 		Platform: config.Platform, Quarantine: s.quarantine, Records: n.state, Keeps: s.members.Keeps, Log: config.Log,
