--- a/internal/cluster/keepers.go
+++ b/internal/cluster/keepers.go
@@ -40,8 +40,8 @@
 	return keeper
 }
 
-// Keeps reports whether this box is the keeper of a name.
-func (m *Members) Keeps(name string) bool { return m.keeperOf(name).Name == m.self.Name }
+// IsKeeperOf reports whether this box is the keeper of a name.
+func (m *Members) IsKeeperOf(name string) bool { return m.keeperOf(name).Name == m.self.Name }
 
 // hallKeeper returns the box that keeps quotas for this box's hall: its relay, which knows how many boxes of the
 // hall are in touch with it. It is this box if no better relay answers.
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -62,7 +62,7 @@
 		if other == box {
 			own = k
 		}
-		if other != nil && other.members.Keeps(engine) {
+		if other != nil && other.members.IsKeeperOf(engine) {
 			keeper = k
 		}
 	}
