--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -14,9 +14,9 @@
 // rateTimeout bounds a call for a request to a rate-limited upstream, because the request's caller waits for it.
 const rateTimeout = 100 * time.Millisecond
 
-// Rates requests grants for rate-limited upstreams from their keepers, and answers for the upstreams that this box
+// RateGrants requests grants for rate-limited upstreams from their keepers, and answers for the upstreams that this box
 // keeps.
-type Rates struct {
+type RateGrants struct {
 	Members   *Members
 	Client    *peer.Client
 	Directory *fleet.Directory
@@ -25,12 +25,12 @@
 }
 
 // Handle registers the method by which other boxes request grants from this box.
-func (r *Rates) Handle(server *peer.Server) { peer.Handle(server, methodRate, r.answer) }
+func (r *RateGrants) Handle(server *peer.Server) { peer.Handle(server, methodRate, r.answer) }
 
 // Ask requests a grant from the keeper of an upstream, which may be this box. If the keeper does not answer, the
 // hall's relay grants from the hall's share of the limit. A cold engine, which is cold for some seconds only, then
 // gets nothing from this box. The error is errKeeperLost or that of the call.
-func (r *Rates) Ask(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
+func (r *RateGrants) Ask(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if reports := r.Directory.LimitReports([]string{ask.Engine}); len(reports) > 0 {
 		ask.Limit = &reports[0]
 	}
@@ -45,7 +45,7 @@
 	return grant, err
 }
 
-func (r *Rates) askBox(ctx context.Context, keeper Box, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
+func (r *RateGrants) askBox(ctx context.Context, keeper Box, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if keeper.Name == r.Members.self.Name {
 		return r.answer(ctx, ask)
 	}
@@ -55,7 +55,7 @@
 
 // answer grants a request from an account that this box keeps, by the latest limit of the upstream that either box
 // knows.
-func (r *Rates) answer(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
+func (r *RateGrants) answer(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if ask.Limit != nil {
 		r.Directory.ApplyLimitReports([]fleet.LimitReport{*ask.Limit})
 	}
@@ -72,7 +72,7 @@
 }
 
 // share returns the share of all boxes that an account is for.
-func (r *Rates) share(ask dispatch.RateRequest, now time.Time) float64 {
+func (r *RateGrants) share(ask dispatch.RateRequest, now time.Time) float64 {
 	if ask.Hall {
 		return r.Members.hallShare(now)
 	}
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -64,7 +64,7 @@
 	quotas := &cluster.Quotas{Members: s.members, Client: n.client, Keeper: customers.NewKeeper(config.Quotas), Log: config.Log}
 	n.spender = customers.NewSpender(quotas.Ask)
 	reservations := &cluster.Reservations{Members: s.members, Client: n.client, Kept: dispatch.NewReservations(), Log: config.Log}
-	rates := &cluster.Rates{
+	rates := &cluster.RateGrants{
 		Members: s.members, Client: n.client, Directory: s.directory, Kept: dispatch.NewRateAccounts(config.ColdStarts), Log: config.Log,
 	}
 	n.Gateway = newGateway(config, s, ensurer, n.spender, reservations, rates)
@@ -168,7 +168,7 @@
 }
 
 func newGateway(config Config, s shared, ensurer *cluster.Ensurer, spender *customers.Spender, reservations *cluster.Reservations,
-	rates *cluster.Rates) *gateway.Gateway {
+	rates *cluster.RateGrants) *gateway.Gateway {
 	return gateway.New(gateway.Config{
 		Directory:    s.directory,
 		Loads:        s.loads,
