--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -40,9 +40,9 @@
 	ModelUses func() []residency.ModelUse
 	// Leaving reports whether this box is about to stop.
 	Leaving func() bool
-	// Dropped is called with the upstreams whose entries lapsed.
-	Dropped func([]fleet.Change)
-	Log     *zap.Logger
+	// OnLapsed is called with the upstreams whose entries lapsed.
+	OnLapsed func([]fleet.Change)
+	Log      *zap.Logger
 }
 
 // Exchange exchanges load, updates and state with the other boxes.
@@ -96,7 +96,7 @@
 	e.limits.collect(targets)
 	e.applyLoads(now)
 	e.Directory.ExpireMarks()
-	e.Dropped(e.Directory.DropLapsed())
+	e.OnLapsed(e.Directory.DropLapsed())
 	for _, c := range calls {
 		go e.exchangeWith(ctx, c)
 	}
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -243,7 +243,7 @@
 		Quarantine: s.quarantine,
 		ModelUses:  n.Gateway.ModelUses,
 		Leaving:    n.leaving.Load,
-		Dropped:    n.view.NoteChanges,
+		OnLapsed:   n.view.NoteChanges,
 		Log:        config.Log,
 
 		LinkBytesPerSecond: config.LinkBytesPerSecond,
