--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -75,8 +75,8 @@
 	return list[max(0, len(list)-maxPending):]
 }
 
-// NoteWork adds work that was requested of models at this box, in milliseconds of an engine's time.
-func (p *PendingUpdates) NoteWork(work map[residency.WorkKey]float64) {
+// AddWork adds work that was requested of models at this box, in milliseconds of an engine's time.
+func (p *PendingUpdates) AddWork(work map[residency.WorkKey]float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, milliseconds := range work {
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -176,7 +176,7 @@
 		Upstreams:    config.Upstreams,
 		Regions:      config.Regions,
 		Ensure:       ensurer.Ensure,
-		RecordDemand: s.pending.NoteWork,
+		RecordDemand: s.pending.AddWork,
 		Reserve:      reservations.Reserve,
 		AskRate:      rates.Ask,
 		Quotas:       gateway.Quotas{Take: spender.Take, Return: spender.Return},
