--- a/internal/box/planner.go
+++ b/internal/box/planner.go
@@ -148,7 +148,7 @@
 		Settings: p.settings,
 		Now:      time.Now().UTC().Truncate(time.Millisecond),
 	}
-	in.Settings.RetireAfter, in.Settings.Settle = retireAfter, replicaSettleDelay
+	in.Settings.RetireAfter, in.Settings.SettleTime = retireAfter, replicaSettleDelay
 	in.Last = p.fleet.snapshot.Load().plan
 	return in
 }
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -87,9 +87,9 @@
 	// MaxLoads bounds the loads under way at once in the whole fleet; 0 means 8. Only benchmarks and
 	// embedders set it.
 	MaxLoads int
-	// Settle is the age from which a replica counts as a substitute for another one. It must be longer than
+	// SettleTime is the age from which a replica counts as a substitute for another one. It must be longer than
 	// a record takes to reach all boxes.
-	Settle time.Duration
+	SettleTime time.Duration
 	// RetireAfter is how long retired replicas stay, so that boxes that receive the plan late still reach
 	// the replicas that they route to.
 	RetireAfter time.Duration
--- a/pkg/placement/reachable.go
+++ b/pkg/placement/reachable.go
@@ -42,7 +42,7 @@
 	return e.Condition == Usable && e.Plan >= u.replicas[e.ID] && e.holds(u) && b.settled(u, e)
 }
 
-// settled reports whether all items of u have been known to be on e for Settings.Settle. By then all boxes
+// settled reports whether all items of u have been known to be on e for Settings.SettleTime. By then all boxes
 // have received the record of them.
 func (b *builder) settled(u *unit, e *engine) bool {
 	latest := e.Resident[u.Item.Name]
@@ -51,7 +51,7 @@
 			latest = since
 		}
 	}
-	return b.in.Now.Sub(latest) >= b.in.Settings.Settle
+	return b.in.Now.Sub(latest) >= b.in.Settings.SettleTime
 }
 
 // confirmedReplicas returns the number of replicas that keep u reachable.
