--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -223,9 +223,9 @@
 			s.loads.Forget(upstream)
 		},
 		// A box without seeds, or that is a seed itself, has no other box to ask for a first copy.
-		ReadsWhole: len(config.Seeds) == 0 || slices.Contains(config.Seeds, config.PeerAddress),
-		Metrics:    config.Set,
-		Log:        config.Log,
+		ReadsFullStore: len(config.Seeds) == 0 || slices.Contains(config.Seeds, config.PeerAddress),
+		Metrics:        config.Set,
+		Log:            config.Log,
 	})
 }
 
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -32,9 +32,9 @@
 	SetTable func(*routes.Table) bool
 	// Forget is called with the id of each upstream that is removed from the directory.
 	Forget func(upstream string)
-	// ReadsWhole means that this box reads the whole store when it starts, so that other boxes can ask it for a first
+	// ReadsFullStore means that this box reads the whole store when it starts, so that other boxes can ask it for a first
 	// copy.
-	ReadsWhole bool
+	ReadsFullStore bool
 	// Metrics counts entries that name no usable upstream; nil counts none.
 	Metrics *metrics.Set
 	Log     *zap.Logger
--- a/internal/storeview/watch.go
+++ b/internal/storeview/watch.go
@@ -42,7 +42,7 @@
 
 // mayAwaitCopy reports whether this box may still wait for a first copy of a large store from other boxes.
 func (v *View) mayAwaitCopy() bool {
-	return !v.config.ReadsWhole && time.Now().Before(v.copyWaitDeadline)
+	return !v.config.ReadsFullStore && time.Now().Before(v.copyWaitDeadline)
 }
 
 // applyPartialSnapshot registers the boxes that are among the first records of a large store, so that they can be
@@ -67,7 +67,7 @@
 	switch {
 	case v.config.OrderLease.Held():
 		return holderBatchDelay
-	case !v.config.Members.Listed() && !v.config.ReadsWhole:
+	case !v.config.Members.Listed() && !v.config.ReadsFullStore:
 		return joinBatchDelay
 	}
 	return otherBatchDelay
