--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -73,7 +73,7 @@
 	config.Set.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.CallerMemory.Used()) })
 	config.Set.NewGauge("ospreymoor_evacuated_requests", func() float64 { return evacuatedRequests(s) })
 	n.holdRecorder = &storeview.HoldRecorder{
-		Platform: config.Platform, Quarantine: s.quarantine, Records: n.state, Keeps: s.members.IsKeeperOf, Log: config.Log,
+		Platform: config.Platform, Quarantine: s.quarantine, Records: n.state, IsResponsible: s.members.IsKeeperOf, Log: config.Log,
 	}
 	n.registration = storeview.NewRegistration(config.Platform, self, config.Log)
 	n.server = peer.NewServer(config.PeerSecret, config.Set)
--- a/internal/storeview/quarantine.go
+++ b/internal/storeview/quarantine.go
@@ -44,10 +44,10 @@
 	Quarantine *quarantine.Register
 	// Records returns this box's copy of the store.
 	Records func() mirror.State
-	// Keeps reports whether this box is responsible for recording a request. Boxes that saw a crash under the request
+	// IsResponsible reports whether this box is responsible for recording a request. Boxes that saw a crash under the request
 	// record it only after witnessDelay.
-	Keeps func(request string) bool
-	Log   *zap.Logger
+	IsResponsible func(request string) bool
+	Log           *zap.Logger
 
 	// failing means that the latest write failed.
 	failing bool
@@ -97,7 +97,7 @@
 	if held.Remaining < minRemainingHold {
 		return false
 	}
-	return h.Keeps(held.Request.String()) || held.SeenHere && held.KnownFor >= witnessDelay
+	return h.IsResponsible(held.Request.String()) || held.SeenHere && held.KnownFor >= witnessDelay
 }
 
 // record writes a record under a lease that expires with the hold. If another box changed the record meanwhile, that
--- a/internal/storeview/quarantine_test.go
+++ b/internal/storeview/quarantine_test.go
@@ -31,8 +31,8 @@
 				Expect(err).NotTo(HaveOccurred())
 				return mirror.State{Records: mirrortest.Records(snapshot.Records...)}
 			},
-			Keeps: func(string) bool { return keeps },
-			Log:   zap.NewNop(),
+			IsResponsible: func(string) bool { return keeps },
+			Log:           zap.NewNop(),
 		}, store
 	}
 	value := func(store kv.Store) string {
