--- a/internal/box/tidier.go
+++ b/internal/box/tidier.go
@@ -35,5 +35,5 @@
 	for customer, entry := range table.table.Customers {
 		texts[bundle.TextKey(customer, entry.Version)] = true
 	}
-	t.cache.Forget(func(name string) bool { return isShared(name) || texts[name] })
+	t.cache.Retain(func(name string) bool { return isShared(name) || texts[name] })
 }
--- a/pkg/records/records.go
+++ b/pkg/records/records.go
@@ -108,8 +108,8 @@
 	return names
 }
 
-// Forget drops the records whose names keep rejects, such as texts of bundles that are no longer in force.
-func (c *Cache) Forget(keep func(name string) bool) {
+// Retain drops the records whose names keep rejects, such as texts of bundles that are no longer in force.
+func (c *Cache) Retain(keep func(name string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.records {
