--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -65,7 +65,7 @@
 			go h.send(ctx, address, message)
 		}
 		interval, peerTimeout := heartbeatTiming(h.interval, len(targets))
-		h.members.view.SetLapse(peerTimeout)
+		h.members.view.SetPeerTimeout(peerTimeout)
 		select {
 		case <-h.sendSoon:
 			// Send early, but at most earlyHeartbeatDivisor times per interval.
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -84,7 +84,7 @@
 	at   time.Time
 }
 
-// defaultPeerTimeout is the timeout until SetLapse is called: 5 s.
+// defaultPeerTimeout is the timeout until SetPeerTimeout is called: 5 s.
 const defaultPeerTimeout = 5 * time.Second
 
 // NewView returns an empty view for the box with the id self.
@@ -112,9 +112,9 @@
 	}
 }
 
-// SetLapse sets the time without a heartbeat after which a peer counts as gone. It should be several
+// SetPeerTimeout sets the time without a heartbeat after which a peer counts as gone. It should be several
 // heartbeat intervals, and these are longer in large fleets.
-func (v *View) SetLapse(timeout time.Duration) {
+func (v *View) SetPeerTimeout(timeout time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.peerTimeout = timeout
