--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -161,7 +161,7 @@
 	old, ok := s.snapshot.Load().engines[id]
 	if ok && old.reported && holding.Incarnation != "" && old.holding.Incarnation != holding.Incarnation {
 		s.router.DropPrefixes(id)
-		s.view.MarkStaying(id)
+		s.view.ClearLeaving(id)
 	}
 	if holding.Leaving {
 		s.view.MarkLeaving(id)
--- a/internal/box/leaving_test.go
+++ b/internal/box/leaving_test.go
@@ -30,7 +30,7 @@
 				if !guard {
 					probing.Go(func() {
 						for pause(ctx, 10*time.Millisecond) {
-							b.view.MarkStaying("h1-e1")
+							b.view.ClearLeaving("h1-e1")
 							b.forgetLeaving("h1-e1")
 						}
 					})
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -142,8 +142,8 @@
 	return true
 }
 
-// MarkStaying records that an upstream has restarted and accepts requests again.
-func (v *View) MarkStaying(upstream string) {
+// ClearLeaving records that an upstream has restarted and accepts requests again.
+func (v *View) ClearLeaving(upstream string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.leaving, upstream)
