--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -92,7 +92,7 @@
 
 // apply processes a heartbeat and fetches the records of which its sender has a newer generation.
 func (h *heartbeats) apply(message peer.Heartbeat) {
-	h.members.view.Heartbeat(message.Peer)
+	h.members.view.RecordHeartbeat(message.Peer)
 	h.fleet.sent.update(message.Peer.Incarnation, message.Sent)
 	for _, id := range message.Leaving {
 		h.members.view.MarkLeaving(id)
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -120,8 +120,8 @@
 	v.peerTimeout = timeout
 }
 
-// Heartbeat records a peer's heartbeat; this box's own is ignored.
-func (v *View) Heartbeat(peer Peer) {
+// RecordHeartbeat records a peer's heartbeat; this box's own is ignored.
+func (v *View) RecordHeartbeat(peer Peer) {
 	if peer.ID == v.self {
 		return
 	}
