--- a/internal/box/control.go
+++ b/internal/box/control.go
@@ -87,7 +87,7 @@
 		Holder: p.self.id,
 		TTL:    p.config.LeaseTTL,
 		Candidate: func() bool {
-			return !p.self.draining.Load() && membership.Among(key, boxes(), p.self.id, leaseCandidates)
+			return !p.self.draining.Load() && membership.IsAmongFirst(key, boxes(), p.self.id, leaseCandidates)
 		},
 		Changed: func(term int64) {
 			p.log.Info("lease", zap.String("key", key), zap.Bool("held", term != 0), zap.Int64("term", term))
--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -169,7 +169,7 @@
 		addresses[box.ID] = box.Address
 	}
 	for hall, ids := range remoteIDs {
-		if !membership.Among("bridge/"+hall, h.members.inHall(), h.self.id, bridgesPerHall) {
+		if !membership.IsAmongFirst("bridge/"+hall, h.members.inHall(), h.self.id, bridgesPerHall) {
 			continue // Other boxes of this hall exchange heartbeats with that one, and pass on what they learn.
 		}
 		ranked := membership.Rank(h.self.id, ids)
--- a/internal/box/members.go
+++ b/internal/box/members.go
@@ -38,5 +38,5 @@
 
 // selfWatchesStore reports whether this box is one of its hall's watchers: the first by rendezvous hashing.
 func (m *members) selfWatchesStore() bool {
-	return membership.Among("watch/"+m.self.hall, m.inHall(), m.self.id, watchersPerHall)
+	return membership.IsAmongFirst("watch/"+m.self.hall, m.inHall(), m.self.id, watchersPerHall)
 }
--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -25,7 +25,7 @@
 	boxes := []string{"box-1", "box-2", "box-3", "box-4"}
 	chosen := 0
 	for _, box := range boxes {
-		if membership.Among("watch", boxes, box, 2) {
+		if membership.IsAmongFirst("watch", boxes, box, 2) {
 			chosen++
 		}
 	}
--- a/pkg/membership/ranking.go
+++ b/pkg/membership/ranking.go
@@ -31,8 +31,8 @@
 	return ranked
 }
 
-// Among reports whether id is one of the first n ids in the ranking for a purpose.
-func Among(purpose string, ids []string, id string, n int) bool {
+// IsAmongFirst reports whether id is one of the first n ids in the ranking for a purpose.
+func IsAmongFirst(purpose string, ids []string, id string, n int) bool {
 	for i, ranked := range Rank(purpose, ids) {
 		if i >= n {
 			return false
