--- a/internal/box/burn_reports.go
+++ b/internal/box/burn_reports.go
@@ -23,7 +23,7 @@
 	self     *self
 	view     *membership.View
 	recorder *burn.Recorder
-	keeper   *burn.Keeper
+	keeper   *burn.SnapshotStore
 	peers    *peer.Client
 	set      *metrics.Set
 }
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Keeper holds the latest snapshot of each incarnation of other boxes. It is safe for concurrent use.
-type Keeper struct {
+// SnapshotStore holds the latest snapshot of each incarnation of other boxes. It is safe for concurrent use.
+type SnapshotStore struct {
 	mu sync.Mutex
 	// snapshots holds the snapshots by incarnation, incarnations the keys in the order of arrival.
 	snapshots    map[string]Snapshot
@@ -18,10 +18,10 @@
 const maxIncarnations = 64
 
 // NewKeeper returns an empty keeper.
-func NewKeeper() *Keeper { return &Keeper{snapshots: map[string]Snapshot{}} }
+func NewKeeper() *SnapshotStore { return &SnapshotStore{snapshots: map[string]Snapshot{}} }
 
 // Keep stores a snapshot if it is the latest of its incarnation.
-func (k *Keeper) Keep(snapshot Snapshot) {
+func (k *SnapshotStore) Keep(snapshot Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	old, ok := k.snapshots[snapshot.Incarnation]
@@ -39,7 +39,7 @@
 }
 
 // Snapshots returns all stored snapshots, in the order in which their incarnations arrived.
-func (k *Keeper) Snapshots() []Snapshot {
+func (k *SnapshotStore) Snapshots() []Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var all []Snapshot
