--- a/internal/box/requests.go
+++ b/internal/box/requests.go
@@ -28,7 +28,7 @@
 		self:     self,
 		view:     k.view,
 		recorder: burn.NewRecorder(self.id, self.incarnation),
-		keeper:   burn.NewKeeper(),
+		keeper:   burn.NewSnapshotStore(),
 		peers:    l.peers,
 		set:      set,
 	}
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -17,8 +17,8 @@
 // is dropped.
 const maxIncarnations = 64
 
-// NewKeeper returns an empty keeper.
-func NewKeeper() *SnapshotStore { return &SnapshotStore{snapshots: map[string]Snapshot{}} }
+// NewSnapshotStore returns an empty keeper.
+func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{snapshots: map[string]Snapshot{}} }
 
 // Keep stores a snapshot if it is the latest of its incarnation.
 func (k *SnapshotStore) Keep(snapshot Snapshot) {
