--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -25,7 +25,7 @@
 		zap.String("backend", choice.Upstream.ID),
 		zap.Int("sending", r.attempts.sent),
 		zap.Duration("leavingFor", against.LeavingFor),
-		zap.Duration("restLeft", against.RestLeft),
+		zap.Duration("restLeft", against.BackoffLeft),
 		zap.Int64("listRevision", choice.Upstream.Revision))
 }
 
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -241,9 +241,9 @@
 type Restrictions struct {
 	// LeavingFor is how long this box has known that the upstream is leaving; 0 if it does not.
 	LeavingFor time.Duration
-	// RestLeft is the remaining time of the backoff that it asked for; 0 if it asked for none or that
+	// BackoffLeft is the remaining time of the backoff that it asked for; 0 if it asked for none or that
 	// is over.
-	RestLeft time.Duration
+	BackoffLeft time.Duration
 	// Limit is the rate limit that it names.
 	Limit Limit
 }
@@ -257,7 +257,7 @@
 		return Restrictions{}
 	}
 	now := time.Now()
-	against := Restrictions{RestLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
+	against := Restrictions{BackoffLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
 	if !known.leavingAt.IsZero() {
 		against.LeavingFor = max(1, now.Sub(known.leavingAt))
 	}
@@ -266,7 +266,7 @@
 
 // Any reports whether the request would disregard anything. A limit does not count, since it allows
 // some requests.
-func (a Restrictions) Any() bool { return a.LeavingFor > 0 || a.RestLeft > 0 }
+func (a Restrictions) Any() bool { return a.LeavingFor > 0 || a.BackoffLeft > 0 }
 
 // noticeRetention is how long the notices of an upstream are kept while no list has it. After an outage
 // of the store, its list may lack entries that come back later; after that time an id is not seen
