--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -21,7 +21,7 @@
 	// engine-2 leaving: true
 }
 
-func ExampleAmong() {
+func ExampleIsAmongFirst() {
 	boxes := []string{"box-1", "box-2", "box-3", "box-4"}
 	chosen := 0
 	for _, box := range boxes {
