--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -52,7 +52,7 @@
 		return wait, nil
 	}
 	r.reportUnservedDemand(r.need.PromptTokens)
-	return 0, r.refusalFor(lacking, wait+time.Duration(rand.Float64()*float64(r.gateway.Directory.BackoffPolicy.ReturnSpread)))
+	return 0, r.refusalFor(lacking, wait+time.Duration(rand.Float64()*float64(r.gateway.Directory.BackoffPolicy.RetryJitter)))
 }
 
 // ensure asks the order holder to load the model or adapter, and returns how long to wait, at most left. Once the
--- a/internal/node/notice_ways_test.go
+++ b/internal/node/notice_ways_test.go
@@ -26,7 +26,7 @@
 func noticeVariants() []noticeVariant {
 	rules := func(window int, spread time.Duration) fleet.BackoffPolicy {
 		policy := fleet.DefaultBackoffPolicy
-		policy.Window, policy.ReturnSpread = window, spread
+		policy.Window, policy.RetryJitter = window, spread
 		return policy
 	}
 	return []noticeVariant{
--- a/pkg/fleet/rest.go
+++ b/pkg/fleet/rest.go
@@ -11,15 +11,15 @@
 	// Window is how many requests of this box may await an answer at first when the backoff is over. It
 	// doubles with each answer; 0 sets no bound.
 	Window int
-	// ReturnSpread is the largest random delay after the end of a backoff until callers that were
+	// RetryJitter is the largest random delay after the end of a backoff until callers that were
 	// refused because of it come back.
-	ReturnSpread time.Duration
+	RetryJitter time.Duration
 }
 
 // DefaultBackoffPolicy is the policy in use. It keeps engines that all asked for a backoff at once from getting
 // all waiting requests at the same moment. An upstream that asked for more than Max is tried again by
 // one request.
-var DefaultBackoffPolicy = BackoffPolicy{Max: 10 * time.Minute, Window: 1, ReturnSpread: 500 * time.Millisecond}
+var DefaultBackoffPolicy = BackoffPolicy{Max: 10 * time.Minute, Window: 1, RetryJitter: 500 * time.Millisecond}
 
 // unlimitedWindow is the window from which on requests are not restricted any more: more than the slots
 // of engines.
