--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -10,22 +10,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls that one process makes. `ospreymoor serve` sets it from --kv-reads and
+// Budget limits the rate of calls that one process makes. `ospreymoor serve` sets it from --kv-reads and
 // --kv-writes; `ospreymoor node` has none and saves calls by pausing its mirror.
 type Budget struct {
-	// ReadsPerSecond and WritesPerSecond are this process's share of the service's rates. Watches
-	// count as one read each; grants, renewals and revocations as writes.
+	// ReadsPerSecond and WritesPerSecond are this process's share of the service's call rates. A watch
+	// counts as one read; grants, renewals and revocations count as writes.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// Set has the counters of calls; nil takes the default set.
+	// Set holds the counters of calls; nil means the default set.
 	Set *metrics.Set
 }
 
-// burstSeconds is how many seconds of its share a process may use at once.
+// burstSeconds is how many seconds of its call rate a process may use at once.
 const burstSeconds = 5
 
-// WithBudget returns store with each call counted and held to the budget. A call waits for its turn;
-// one that would wait past its deadline fails at once with ErrBudget and is not made.
+// WithBudget returns store with each call counted and rate-limited to the budget. A call waits until the
+// budget allows it. One that would wait past its deadline fails at once with ErrBudget and is not made.
 func WithBudget(store Store, budget Budget) Store {
 	b := newBudgeted(store, budget)
 	return Store{
@@ -63,8 +63,8 @@
 	}
 }
 
-// take counts a call and waits until the budget allows it.
-func (b *budgeted) take(ctx context.Context, limiter *rate.Limiter, call string) error {
+// admit counts a call and waits until the budget allows it.
+func (b *budgeted) admit(ctx context.Context, limiter *rate.Limiter, call string) error {
 	b.set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_kv_calls_total{call=%q}", call)).Inc()
 	if err := limiter.Wait(ctx); err != nil {
 		b.set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_kv_over_budget_total{call=%q}", call)).Inc()
@@ -74,63 +74,63 @@
 }
 
 func (b *budgeted) get(ctx context.Context, key string) (Record, error) {
-	if err := b.take(ctx, b.reads, "get"); err != nil {
+	if err := b.admit(ctx, b.reads, "get"); err != nil {
 		return Record{}, err
 	}
 	return b.store.Get(ctx, key)
 }
 
 func (b *budgeted) list(ctx context.Context, prefix string) ([]Record, error) {
-	if err := b.take(ctx, b.reads, "list"); err != nil {
+	if err := b.admit(ctx, b.reads, "list"); err != nil {
 		return nil, err
 	}
 	return b.store.List(ctx, prefix)
 }
 
 func (b *budgeted) snapshot(ctx context.Context, prefix string) (Snapshot, error) {
-	if err := b.take(ctx, b.reads, "snapshot"); err != nil {
+	if err := b.admit(ctx, b.reads, "snapshot"); err != nil {
 		return Snapshot{}, err
 	}
 	return b.store.Snapshot(ctx, prefix)
 }
 
 func (b *budgeted) swap(ctx context.Context, swap Swap) (Record, error) {
-	if err := b.take(ctx, b.writes, "swap"); err != nil {
+	if err := b.admit(ctx, b.writes, "swap"); err != nil {
 		return Record{}, err
 	}
 	return b.store.Swap(ctx, swap)
 }
 
 func (b *budgeted) remove(ctx context.Context, key string, revision int64) error {
-	if err := b.take(ctx, b.writes, "delete"); err != nil {
+	if err := b.admit(ctx, b.writes, "delete"); err != nil {
 		return err
 	}
 	return b.store.Delete(ctx, key, revision)
 }
 
 func (b *budgeted) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := b.take(ctx, b.writes, "grant"); err != nil {
+	if err := b.admit(ctx, b.writes, "grant"); err != nil {
 		return 0, err
 	}
 	return b.store.Grant(ctx, ttl)
 }
 
 func (b *budgeted) renew(ctx context.Context, id LeaseID) error {
-	if err := b.take(ctx, b.writes, "renew"); err != nil {
+	if err := b.admit(ctx, b.writes, "renew"); err != nil {
 		return err
 	}
 	return b.store.Renew(ctx, id)
 }
 
 func (b *budgeted) revoke(ctx context.Context, id LeaseID) error {
-	if err := b.take(ctx, b.writes, "revoke"); err != nil {
+	if err := b.admit(ctx, b.writes, "revoke"); err != nil {
 		return err
 	}
 	return b.store.Revoke(ctx, id)
 }
 
 func (b *budgeted) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
-	if err := b.take(ctx, b.reads, "watch"); err != nil {
+	if err := b.admit(ctx, b.reads, "watch"); err != nil {
 		return nil, err
 	}
 	return b.store.Watch(ctx, watching)
--- a/pkg/kv/document_test.go
+++ b/pkg/kv/document_test.go
@@ -19,25 +19,25 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// listSize is how many elements the test's list takes.
+// listSize is the capacity of the test's list.
 const listSize = 12
 
 var errFull = errors.ConstError("list is full")
 
-// listModel defines what adding to a list may return. The state holds the elements in
-// sorted order; an unknown outcome may be either.
+// listModel defines which outcomes of adding an element to the list are correct. The state holds the
+// elements in sorted order. After an unknown outcome the element may have been added or not.
 var listModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{[]string(nil)} },
 	Step: func(state, element, outcome any) []any {
 		list := state.([]string)
 		full := len(list) >= listSize
-		with := append(slices.Clone(list), element.(string))
-		slices.Sort(with)
+		added := append(slices.Clone(list), element.(string))
+		slices.Sort(added)
 		switch {
 		case outcome == "unknown":
-			return []any{list, with}
+			return []any{list, added}
 		case outcome == "done" && !full:
-			return []any{with}
+			return []any{added}
 		case outcome == "refused" && full:
 			return []any{list}
 		}
@@ -46,30 +46,31 @@
 	Equal: func(a, b any) bool { return slices.Equal(a.([]string), b.([]string)) },
 }
 
-// chaos picks fates at random, the same for the same seed.
-func chaos(seed uint64) func(string) kvtest.Fate {
+// randomFaults returns a function that chooses faults at random, the same ones for the same seed.
+func randomFaults(seed uint64) func(string) kvtest.Fate {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(string) kvtest.Fate {
 		mu.Lock()
 		defer mu.Unlock()
-		fate := kvtest.Fate{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
+		fault := kvtest.Fate{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
 		switch random.IntN(10) {
 		case 0:
-			fate.Refused = true
+			fault.Refused = true
 		case 1:
-			fate.Lost = true
+			fault.Lost = true
 		case 2, 3:
-			fate.AnswerLost = true
+			fault.AnswerLost = true
 		case 4:
-			fate.Late = time.Duration(random.IntN(300)+1) * time.Millisecond
+			fault.Late = time.Duration(random.IntN(300)+1) * time.Millisecond
 		}
-		return fate
+		return fault
 	}
 }
 
-// forgetful hides from readers which operations made a document: the guard is off.
-func forgetful(store kv.Store) kv.Store {
+// hideOperations hides the operation ids of documents from readers, so that a writer can't find out whether
+// its own change took effect.
+func hideOperations(store kv.Store) kv.Store {
 	get := store.Get
 	store.Get = func(ctx context.Context, key string) (kv.Record, error) {
 		record, err := get(ctx, key)
@@ -83,38 +84,38 @@
 	return store
 }
 
-// runWriters has writers add elements through a faulty store; it returns their history and
-// the elements that stand in the end.
-func runWriters(seed uint64, guard bool) (history []porcupine.Operation, final []string) {
+// runWriters runs concurrent writers that add elements through a faulty store. It returns their history
+// and the elements of the final list. If showOperations is false, it applies hideOperations.
+func runWriters(seed uint64, showOperations bool) (history []porcupine.Operation, final []string) {
 	spectest.Bubble(func() {
 		memory := kv.NewMemory().Store()
-		store := kvtest.Faulty(memory, chaos(seed))
-		if !guard {
-			store = forgetful(store)
+		store := kvtest.Faulty(memory, randomFaults(seed))
+		if !showOperations {
+			store = hideOperations(store)
 		}
-		begun := time.Now()
+		start := time.Now()
 		var mu sync.Mutex
 		var writers sync.WaitGroup
 		for writer := range 4 {
 			writers.Go(func() {
 				for i := range 5 {
 					element := fmt.Sprintf("%d-%d", writer, i)
-					call := time.Since(begun)
+					called := time.Since(start)
 					outcome := add(store, element)
-					end := time.Since(begun)
+					returned := time.Since(start)
 					if outcome == "unknown" {
-						end = time.Hour // It may take effect at any later time.
+						returned = time.Hour // It may take effect at any later time.
 					}
 					mu.Lock()
 					history = append(history, porcupine.Operation{
-						ClientId: writer, Input: element, Call: int64(call), Output: outcome, Return: int64(end),
+						ClientId: writer, Input: element, Call: int64(called), Output: outcome, Return: int64(returned),
 					})
 					mu.Unlock()
 				}
 			})
 		}
 		writers.Wait()
-		time.Sleep(time.Second) // Late swaps land.
+		time.Sleep(time.Second) // Late swaps take effect.
 		document, err := kv.ReadDocument[[]string](context.Background(), memory, "list")
 		Expect(err).NotTo(HaveOccurred())
 		final = document.Body
@@ -141,14 +142,15 @@
 	}
 }
 
-// linearizable reports whether a history fits the model, and the end fits the history.
+// linearizable reports whether the history is linearizable by the model and the final list agrees with
+// the outcomes.
 func linearizable(history []porcupine.Operation, final []string) bool {
-	stands := map[string]int{}
+	occurrences := map[string]int{}
 	for _, element := range final {
-		stands[element]++
+		occurrences[element]++
 	}
 	for _, operation := range history {
-		n := stands[operation.Input.(string)]
+		n := occurrences[operation.Input.(string)]
 		if n > 1 || (operation.Output == "done" && n != 1) || (operation.Output == "refused" && n != 0) {
 			return false
 		}
@@ -166,7 +168,7 @@
 		}
 	})
 
-	It("would not without the operations it remembers (guard off)", func() {
+	It("violates this if writers cannot read the stored operation ids", func() {
 		broken := 0
 		for seed := range uint64(seeds) {
 			if history, final := runWriters(seed, false); !linearizable(history, final) {
--- a/pkg/kv/etcd.go
+++ b/pkg/kv/etcd.go
@@ -20,15 +20,15 @@
 
 // EtcdConfig defines where the service is and how to reach it.
 type EtcdConfig struct {
-	// URL is the service's base, such as http://127.0.0.1:2379.
+	// URL is the service's base URL, such as http://127.0.0.1:2379.
 	URL string
-	// Client makes the calls; nil takes http.DefaultClient.
+	// Client makes the calls; nil means http.DefaultClient.
 	Client *http.Client
-	// CallTimeout bounds each call but a watch; 0 takes 2 s.
+	// CallTimeout is the timeout of each call except a watch; 0 means 2 s.
 	CallTimeout time.Duration
 }
 
-// defaultCallTimeout bounds a call where the config gives no bound.
+// defaultCallTimeout is the timeout of a call if the config sets none.
 const defaultCallTimeout = 2 * time.Second
 
 // NewEtcd returns a Store that calls the etcd v3 API over HTTP and JSON, for `ospreymoor serve`.
@@ -101,7 +101,7 @@
 	return err
 }
 
-// txn does op if the key is at the revision, else ErrConflict.
+// txn executes op if the key is at the revision, and returns ErrConflict if it is not.
 func (e *etcd) txn(ctx context.Context, key string, revision int64, op Op) (TxnResponse, error) {
 	request := TxnRequest{
 		Compare: []Compare{{Target: "MOD", Result: "EQUAL", Key: []byte(key), ModRevision: revision}},
@@ -143,7 +143,7 @@
 	return e.change(ctx, PathRevoke, LeaseRequest{ID: int64(id)}, &answer)
 }
 
-// prefixEnd is the first key after all that begin with prefix.
+// prefixEnd returns the first key after all keys that begin with prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/pkg/kv/etcd_call.go
+++ b/pkg/kv/etcd_call.go
@@ -13,7 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// maxAnswerBytes bounds an answer, in bytes: a list of full values in base64, at most.
+// maxAnswerBytes bounds how much of an answer is read, in bytes. The longest answers are lists of values of
+// the largest size, in base64.
 const maxAnswerBytes = 64 << 20
 
 // read makes a call that changes nothing: every failure is ErrUnavailable.
@@ -24,23 +25,23 @@
 	return nil
 }
 
-// change makes a call that changes something: a failure is ErrUnavailable if the service refused the
-// call or it was never sent, else ErrUnknown.
+// change makes a call that changes something. A failure is ErrUnavailable if the service refused the
+// call or the call was never sent, else ErrUnknown.
 func (e *etcd) change(ctx context.Context, path string, request, answer any) error {
-	refused, err := e.call(ctx, path, request, answer)
+	notExecuted, err := e.call(ctx, path, request, answer)
 	if err == nil {
 		return nil
 	}
 	kind := ErrUnknown
-	if refused {
+	if notExecuted {
 		kind = ErrUnavailable
 	}
 	return fmt.Errorf("%v: %w", errors.Annotatef(err, "calling %s", path), kind)
 }
 
-// call makes one call and decodes its answer. Beside the error it returns whether the service surely
-// did not do the call.
-func (e *etcd) call(ctx context.Context, path string, request, answer any) (refused bool, err error) {
+// call makes one call and decodes its answer. With an error it returns whether it is certain that the
+// service did not execute the call.
+func (e *etcd) call(ctx context.Context, path string, request, answer any) (notExecuted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, e.CallTimeout)
 	defer cancel()
 	response, err := e.post(ctx, path, request)
--- a/pkg/kv/etcd_messages.go
+++ b/pkg/kv/etcd_messages.go
@@ -1,9 +1,9 @@
 package kv
 
-// The messages below are the used part of etcd's v3 JSON mapping:
-// bytes are base64, 64-bit integers are strings, defaults are left out.
+// The messages below are the part of etcd's v3 JSON mapping that this package uses: bytes are base64,
+// 64-bit integers are strings, and default values are omitted.
 
-// Header comes with each answer.
+// Header is part of each answer.
 type Header struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
@@ -59,7 +59,7 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// TxnRequest does Success if all of Compare hold.
+// TxnRequest executes Success if all conditions of Compare hold.
 type TxnRequest struct {
 	Compare []Compare `json:"compare"`
 	Success []Op      `json:"success"`
@@ -77,7 +77,7 @@
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest; a TTL (in seconds) of 0 means that the lease is gone.
+// LeaseResponse answers a LeaseRequest; a TTL (in seconds) of 0 means that the lease has ended.
 type LeaseResponse struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -108,7 +108,7 @@
 	Events   []WatchEvent `json:"events,omitempty"`
 }
 
-// WatchEvent is a PUT, whose type is left out, or a DELETE.
+// WatchEvent is a PUT, whose type is omitted, or a DELETE.
 type WatchEvent struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
--- a/pkg/kv/etcd_watch.go
+++ b/pkg/kv/etcd_watch.go
@@ -27,8 +27,8 @@
 	return events, nil
 }
 
-// readWatch sends the events of a watch's stream until either side ends it. An end of the stream, in
-// whatever way, has no error here: the caller reads a snapshot next, whose error shows what is wrong.
+// readWatch sends the events of a watch's stream until the stream or ctx ends. It reports no error: after
+// the channel is closed the caller reads a snapshot, which fails if the service can't be reached.
 func readWatch(ctx context.Context, body io.ReadCloser, events chan<- []Event) {
 	defer close(events)
 	defer func() { _ = body.Close() }()
--- a/pkg/kv/memory.go
+++ b/pkg/kv/memory.go
@@ -11,17 +11,17 @@
 	"github.com/juju/errors"
 )
 
-// Memory is the service within this process, for tests and stand-ins.
+// Memory implements the key-value service in memory, for tests and stand-ins.
 type Memory struct {
 	mu sync.Mutex
-	// revision is that of the last change.
+	// revision is the revision of the last change.
 	revision int64
 	keys     map[string]memoryKey
 	leases   map[LeaseID]*memoryLease
 	lastID   LeaseID
-	// history has all changes, oldest first; it is never compacted.
+	// history holds all changes, oldest first; it is never compacted.
 	history []Event
-	// changed is closed, and replaced, with each change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// Store returns the functions of the service.
+// Store returns a Store that accesses m.
 func (m *Memory) Store() Store {
 	return Store{
 		Get:      m.get,
@@ -60,7 +60,7 @@
 	}
 }
 
-// RefreshLeases gives each lease its full time again, as the service does when it comes back.
+// RefreshLeases restarts the TTL of each lease, as the service does after an outage.
 func (m *Memory) RefreshLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +102,7 @@
 }
 
 func (m *Memory) snapshot(ctx context.Context, prefix string) (Snapshot, error) {
-	// The revision is read first: changes that come between are seen twice, never missed.
+	// The revision is read first: a change between the two reads is seen twice, never missed.
 	revision := m.Revision()
 	records, err := m.list(ctx, prefix)
 	return Snapshot{Records: records, Revision: revision}, err
@@ -184,7 +184,8 @@
 	return events, nil
 }
 
-// follow sends the history's events from index next on, waiting for more.
+// follow sends the events below prefix from history index next on, and then those that are added, until
+// ctx ends.
 func (m *Memory) follow(ctx context.Context, prefix string, next int, events chan<- []Event) {
 	defer close(events)
 	for {
@@ -212,10 +213,10 @@
 	}
 }
 
-// expiryCheckInterval bounds how late a watch sends that a lease has run out.
+// expiryCheckInterval is the longest time until a watch notices that a lease has expired.
 const expiryCheckInterval = 250 * time.Millisecond
 
-// expire ends the leases whose time is over. The caller holds the lock.
+// expire ends the leases whose TTL has passed. The caller holds the lock.
 func (m *Memory) expire() {
 	now := time.Now()
 	for id, lease := range m.leases {
@@ -225,7 +226,7 @@
 	}
 }
 
-// endLease ends a lease and the keys that die with it. The caller holds the lock.
+// endLease ends a lease and deletes the keys that are attached to it. The caller holds the lock.
 func (m *Memory) endLease(id LeaseID) {
 	delete(m.leases, id)
 	if id == 0 {
@@ -248,7 +249,7 @@
 	m.publish(Event{Record: Record{Key: key, Revision: m.revision}, Deleted: true})
 }
 
-// publish adds a change to the history and wakes the watches. The caller holds the lock.
+// publish adds a change to the history and notifies the watches. The caller holds the lock.
 func (m *Memory) publish(event Event) {
 	m.history = append(m.history, event)
 	close(m.changed)
--- a/pkg/kv/observed.go
+++ b/pkg/kv/observed.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Observed returns store with the outcome of each call passed to report: nil, or the call's error.
-// `ospreymoor serve` learns by it whether the service answers; on `ospreymoor node` the mirror does.
+// Observed returns store with each call's error, or nil, passed to report. `ospreymoor serve` uses it to
+// track whether the service answers; in `ospreymoor node` the mirror tracks that.
 func Observed(store Store, report func(error)) Store {
-	one, list := reporting[Record](report), reporting[[]Record](report)
-	none := func(err error) error { report(err); return err }
+	reportRecord, reportRecords := reporting[Record](report), reporting[[]Record](report)
+	reportError := func(err error) error { report(err); return err }
 	return Store{
 		Get: func(ctx context.Context, key string) (Record, error) {
-			return one(store.Get(ctx, key))
+			return reportRecord(store.Get(ctx, key))
 		},
 		List: func(ctx context.Context, prefix string) ([]Record, error) {
-			return list(store.List(ctx, prefix))
+			return reportRecords(store.List(ctx, prefix))
 		},
 		Snapshot: func(ctx context.Context, prefix string) (Snapshot, error) {
 			return reporting[Snapshot](report)(store.Snapshot(ctx, prefix))
 		},
 		Swap: func(ctx context.Context, swap Swap) (Record, error) {
-			return one(store.Swap(ctx, swap))
+			return reportRecord(store.Swap(ctx, swap))
 		},
 		Delete: func(ctx context.Context, key string, revision int64) error {
-			return none(store.Delete(ctx, key, revision))
+			return reportError(store.Delete(ctx, key, revision))
 		},
 		Grant: func(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 			return reporting[LeaseID](report)(store.Grant(ctx, ttl))
 		},
 		Renew: func(ctx context.Context, id LeaseID) error {
-			return none(store.Renew(ctx, id))
+			return reportError(store.Renew(ctx, id))
 		},
 		Revoke: func(ctx context.Context, id LeaseID) error {
-			return none(store.Revoke(ctx, id))
+			return reportError(store.Revoke(ctx, id))
 		},
 		Watch: func(ctx context.Context, watching Watching) (<-chan []Event, error) {
 			return reporting[<-chan []Event](report)(store.Watch(ctx, watching))
