--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,11 +1,12 @@
-// Package engine is the client of model engines for `ospreymoor serve`, the native way. It is the
-// only package that knows the engines' protocol, Connect over HTTP/2 without TLS.
+// Package engine is the client of model engines for `ospreymoor serve`, the native mode. Apart from the
+// stand-ins and tests, it is the only package that uses the engines' protocol: Connect over HTTP/2
+// without TLS, with the messages that proto/ defines.
 //
-// It owns no state but connections, and repeats nothing: internal/box decides by the kinds of error
-// below whether a failed request may be sent again. It relies on the contracts in proto/.
+// It holds no state except connections and never retries: internal/box decides by the kinds of error
+// below whether a failed request may be sent again.
 //
-// Its look-alike for `ospreymoor node` is platform/engines.go and platform/upstreams.go: HTTP/1.1,
-// JSON, and streams of events.
+// Its counterpart for `ospreymoor node` is platform/engines.go and platform/upstreams.go, which use
+// HTTP/1.1, JSON and event streams.
 package engine
 
 import (
@@ -20,19 +21,19 @@
 
 // Kinds of failure of a request.
 const (
-	// ErrNotStarted: the engine refused the request, or nothing reached it.
+	// ErrNotStarted: the engine refused the request, or no connection to it was made.
 	ErrNotStarted = errors.ConstError("engine did not start the request: send it to another")
-	// ErrLeaving: the engine takes nothing new. It did not start the request.
+	// ErrLeaving: the engine is draining and accepts no new requests. It did not start this one.
 	ErrLeaving = errors.ConstError("engine is leaving: send the request to another")
-	// ErrNoRun: the engine knows no run of this id.
+	// ErrNoRun: the engine knows no run with this id.
 	ErrNoRun = errors.ConstError("engine knows no such request: cancel its id before it is sent elsewhere")
-	// ErrBrokenOff: the answer broke off. The run may go on.
+	// ErrBrokenOff: the answer ended before it was complete. The run may still be going on.
 	ErrBrokenOff = errors.ConstError("answer broke off: resume it")
-	// ErrForeign: a message belongs to another request or leaves a gap. It was dropped.
+	// ErrForeign: a message belongs to another request, or is not the next piece. It was dropped.
 	ErrForeign = errors.ConstError("engine sent what is not this request's: resume it")
 )
 
-// ReasonLeaving is the message of an engine's refusal because it leaves.
+// ReasonLeaving is the message of the error by which a draining engine refuses a request.
 const ReasonLeaving = "leaving"
 
 // Request is one run on an engine.
@@ -42,9 +43,9 @@
 	// Adapter is empty for the model itself.
 	Adapter string
 	Prompt  string
-	// MaxTokens bounds the answer; 0 leaves it to the engine.
+	// MaxTokens limits the answer; 0 leaves the limit to the engine.
 	MaxTokens uint32
-	// Priority ranks waiting requests: the highest runs first.
+	// Priority orders waiting requests: the highest runs first.
 	Priority int32
 }
 
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -12,7 +12,7 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// Order returns the functions by which the hall's controller orders the engine.
+// Order returns the functions by which the hall's controller sends orders to the engine.
 func (c *Client) Order() orders.Engine {
 	return orders.Engine{
 		ID:     c.box.ID,
@@ -55,7 +55,7 @@
 	return orderError(err)
 }
 
-// orderError gives a failed order the kind of error that holds for it. Without a kind, the order may
+// orderError adds the kind of error to the error of a failed order. An order whose error has no kind may
 // still take effect.
 func orderError(err error) error {
 	if err == nil {
--- a/internal/engine/runs.go
+++ b/internal/engine/runs.go
@@ -11,9 +11,9 @@
 	enginev1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/engine/v1"
 )
 
-// Generate starts a run and passes its pieces to take in order, from index 0. It returns nil once
-// the whole answer was taken, the error of take, or one of the kinds above.
-func (c *Client) Generate(ctx context.Context, r Request, take func(index uint32, text string) error) error {
+// Generate starts a run and passes the pieces of its answer to onPiece in order, from index 0. It returns nil
+// once onPiece has received the whole answer, the error of onPiece, or an error of one of the package's kinds.
+func (c *Client) Generate(ctx context.Context, r Request, onPiece func(index uint32, text string) error) error {
 	stream, err := c.engine.Generate(ctx, connect.NewRequest(&enginev1.GenerateRequest{
 		RequestId: r.ID,
 		Model:     r.Model,
@@ -25,16 +25,16 @@
 	if err != nil {
 		return requestError(err)
 	}
-	return receive(stream, r.ID, 0, take)
+	return receive(stream, r.ID, 0, onPiece)
 }
 
-// Resume passes on the pieces of a run that was started, from an offset on. Errors are those of
-// Generate, but never that the run was not started.
-func (c *Client) Resume(ctx context.Context, id string, offset uint32, take func(index uint32, text string) error) error {
+// Resume passes the pieces of a run that was started to onPiece, from an offset on. Its errors are those of
+// Generate except ErrNotStarted and ErrLeaving, since the run was started.
+func (c *Client) Resume(ctx context.Context, id string, offset uint32, onPiece func(index uint32, text string) error) error {
 	request := &enginev1.ResumeRequest{RequestId: id, Offset: offset}
 	stream, err := c.engine.Resume(ctx, connect.NewRequest(request))
 	if err == nil {
-		err = receive(stream, id, offset, take)
+		err = receive(stream, id, offset, onPiece)
 	} else {
 		err = requestError(err)
 	}
@@ -49,7 +49,7 @@
 	Incarnation string
 }
 
-// Cancel ends a run. From then on the engine refuses its id.
+// Cancel ends a run. From then on the engine refuses requests with its id.
 func (c *Client) Cancel(ctx context.Context, id string) (Cancelled, error) {
 	answer, err := c.engine.Cancel(ctx, connect.NewRequest(&enginev1.CancelRequest{RequestId: id}))
 	if err != nil {
@@ -58,10 +58,10 @@
 	return Cancelled{Started: answer.Msg.GetStarted(), Incarnation: answer.Msg.GetIncarnation()}, nil
 }
 
-// receive passes on the messages of a stream. Each must be the request's own and the next in order,
-// up to the closing one, whose index is the count of pieces.
-func receive(stream *connect.ServerStreamForClient[enginev1.GenerateResponse], id string, next uint32, take func(uint32, string) error) error {
-	defer func() { _ = stream.Close() }() // Whatever comes now is not used: no error matters.
+// receive passes the pieces of a stream to onPiece. Each message must carry the request's id and the next
+// index, also the last one, whose index is the number of pieces.
+func receive(stream *connect.ServerStreamForClient[enginev1.GenerateResponse], id string, next uint32, onPiece func(uint32, string) error) error {
+	defer func() { _ = stream.Close() }() // Nothing more is read from the stream, so its error is ignored.
 	for stream.Receive() {
 		message := stream.Msg()
 		if message.GetRequestId() != id || message.GetIndex() != next {
@@ -70,7 +70,7 @@
 		if message.GetLast() {
 			return nil
 		}
-		if err := take(next, message.GetText()); err != nil {
+		if err := onPiece(next, message.GetText()); err != nil {
 			return err
 		}
 		next++
@@ -82,7 +82,7 @@
 	return requestError(err)
 }
 
-// requestError gives a failed request the kind of error that holds for its run.
+// requestError adds to the error of a failed request the kind that says what is known of its run.
 func requestError(err error) error {
 	var answer *connect.Error
 	if !errors.As(err, &answer) || !connect.IsWireError(err) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// resumeError never takes a failed resumption for a request that was not started: an engine that
-// cannot be reached now, or refuses now, may well have started it before.
+// resumeError turns ErrNotStarted and ErrLeaving of a failed resumption into ErrBrokenOff: an engine that
+// cannot be reached now, or refuses now, may have started the run before.
 func resumeError(err error) error {
 	if errors.Is(err, ErrNotStarted) || errors.Is(err, ErrLeaving) {
 		return errors.Annotatef(ErrBrokenOff, "resuming: %v", err)
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -10,18 +10,18 @@
 	"github.com/juju/errors"
 )
 
-// Times of connections.
+// Timeouts of connections.
 const (
 	// idleConnTimeout is how long an idle connection is kept.
 	idleConnTimeout = 90 * time.Second
-	// pingAfter is how long an HTTP/2 connection is silent before it is probed, and pingTimeout how
-	// long after an unanswered probe it breaks.
-	pingAfter   = 5 * time.Second
-	pingTimeout = 2 * time.Second
+	// pingInterval is how long nothing arrives on an HTTP/2 connection before a ping is sent. pingTimeout is
+	// how long after an unanswered ping the connection is closed.
+	pingInterval = 5 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
 // NewHTTPClient returns the HTTP client for engines: HTTP/2 without TLS, many streams on one
-// connection. Pings find dead connections.
+// connection. It detects dead connections by pings.
 func NewHTTPClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
@@ -29,11 +29,11 @@
 		Protocols:       &protocols,
 		DialContext:     dial,
 		IdleConnTimeout: idleConnTimeout,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}}
 }
 
-// transportError gives a failure without an engine's answer its kind.
+// transportError adds the kind to the error of a request that the engine did not answer.
 func transportError(err error) error {
 	if IsDialError(err) {
 		return fmt.Errorf("%w: %w", err, ErrNotStarted)
@@ -41,7 +41,7 @@
 	return fmt.Errorf("%w: %w", err, ErrBrokenOff)
 }
 
-// IsDialError reports whether no connection was made, so that nothing was sent.
+// IsDialError reports whether no connection was made, so that nothing can have been sent.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
