--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// admit counts a call and waits until the budget allows it.
-func (b *budgeted) admit(ctx context.Context, limiter *rate.Limiter, call string) error {
+// take counts a call and waits until the budget allows it.
+func (b *budgeted) take(ctx context.Context, limiter *rate.Limiter, call string) error {
 	b.set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_kv_calls_total{call=%q}", call)).Inc()
 	if err := limiter.Wait(ctx); err != nil {
 		b.set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_kv_over_budget_total{call=%q}", call)).Inc()
@@ -74,63 +74,63 @@
 }
 
 func (b *budgeted) get(ctx context.Context, key string) (Record, error) {
-	if err := b.admit(ctx, b.reads, "get"); err != nil {
+	if err := b.take(ctx, b.reads, "get"); err != nil {
 		return Record{}, err
 	}
 	return b.store.Get(ctx, key)
 }
 
 func (b *budgeted) list(ctx context.Context, prefix string) ([]Record, error) {
-	if err := b.admit(ctx, b.reads, "list"); err != nil {
+	if err := b.take(ctx, b.reads, "list"); err != nil {
 		return nil, err
 	}
 	return b.store.List(ctx, prefix)
 }
 
 func (b *budgeted) snapshot(ctx context.Context, prefix string) (Snapshot, error) {
-	if err := b.admit(ctx, b.reads, "snapshot"); err != nil {
+	if err := b.take(ctx, b.reads, "snapshot"); err != nil {
 		return Snapshot{}, err
 	}
 	return b.store.Snapshot(ctx, prefix)
 }
 
 func (b *budgeted) swap(ctx context.Context, swap Swap) (Record, error) {
-	if err := b.admit(ctx, b.writes, "swap"); err != nil {
+	if err := b.take(ctx, b.writes, "swap"); err != nil {
 		return Record{}, err
 	}
 	return b.store.Swap(ctx, swap)
 }
 
 func (b *budgeted) remove(ctx context.Context, key string, revision int64) error {
-	if err := b.admit(ctx, b.writes, "delete"); err != nil {
+	if err := b.take(ctx, b.writes, "delete"); err != nil {
 		return err
 	}
 	return b.store.Delete(ctx, key, revision)
 }
 
 func (b *budgeted) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := b.admit(ctx, b.writes, "grant"); err != nil {
+	if err := b.take(ctx, b.writes, "grant"); err != nil {
 		return 0, err
 	}
 	return b.store.Grant(ctx, ttl)
 }
 
 func (b *budgeted) renew(ctx context.Context, id LeaseID) error {
-	if err := b.admit(ctx, b.writes, "renew"); err != nil {
+	if err := b.take(ctx, b.writes, "renew"); err != nil {
 		return err
 	}
 	return b.store.Renew(ctx, id)
 }
 
 func (b *budgeted) revoke(ctx context.Context, id LeaseID) error {
-	if err := b.admit(ctx, b.writes, "revoke"); err != nil {
+	if err := b.take(ctx, b.writes, "revoke"); err != nil {
 		return err
 	}
 	return b.store.Revoke(ctx, id)
 }
 
 func (b *budgeted) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
-	if err := b.admit(ctx, b.reads, "watch"); err != nil {
+	if err := b.take(ctx, b.reads, "watch"); err != nil {
 		return nil, err
 	}
 	return b.store.Watch(ctx, watching)
