--- a/internal/cmd/bundle.go
+++ b/internal/cmd/bundle.go
@@ -12,9 +12,9 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// ospreymoor bundle check|sign-off|roll|retire|list
+// bundleCommand groups the commands that put a customer's bundle in force and retire it.
 //
-// Takes a customer's bundle from a file to service and out of it.
+//	ospreymoor bundle check|sign-off|roll|retire|list
 type bundleCommand struct {
 	Check   bundleCheckCommand   `cmd:"" help:"Check bundle files; changes nothing, needs no box."`
 	SignOff bundleSignOffCommand `cmd:"" name:"sign-off" help:"Store bundle versions for good."`
@@ -23,33 +23,33 @@
 	List    bundleListCommand    `cmd:"" help:"List the customer's signed-off versions."`
 }
 
-// operatorFlags name the box to call and the operator who calls it.
+// operatorFlags holds the flags that name the box to call and the token of the operator who calls it.
 type operatorFlags struct {
 	Box   string `name:"box" env:"OSPREYMOOR_BOX" default:"http://127.0.0.1:8080" help:"URL of any entry box."`
 	Token string `name:"token" env:"OSPREYMOOR_TOKEN" help:"The operator's token."`
 }
 
-// client is a client of the box's operators' service; the error is an errSettings.
+// client returns a client of the box's operators' service; its error is an errSettings.
 func (f operatorFlags) client() (ospreymoorv1connect.OperatorServiceClient, error) {
 	if f.Token == "" {
-		return nil, missing("token", "give the token of the customer's operators")
+		return nil, missingSetting("token", "give the token of the customer's operators")
 	}
 	if !strings.HasPrefix(f.Box, "http://") && !strings.HasPrefix(f.Box, "https://") {
-		return nil, wrong("box", f.Box, "give a URL such as http://127.0.0.1:8080")
+		return nil, invalidSetting("box", f.Box, "give a URL such as http://127.0.0.1:8080")
 	}
 	return ospreymoorv1connect.NewOperatorServiceClient(http.DefaultClient, f.Box), nil
 }
 
-// withToken makes a request that carries the operator's token.
+// withToken returns a request that carries the operator's token.
 func withToken[T any](f operatorFlags, message *T) *connect.Request[T] {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+f.Token)
 	return request
 }
 
-// eachBundle reads and checks each file and calls do with its bundle and text. It stops at the first
-// error: the files before it are done.
-func eachBundle(files []string, do func(*bundle.Bundle, string) error) error {
+// forEachBundle reads and checks each file and calls do with its bundle and text. It stops at the first error;
+// what do did for earlier files is not undone.
+func forEachBundle(files []string, do func(*bundle.Bundle, string) error) error {
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/internal/cmd/bundle_check.go
+++ b/internal/cmd/bundle_check.go
@@ -6,14 +6,16 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// ospreymoor bundle check FILE...
+// bundleCheckCommand checks bundle files without calling a box.
+//
+//	ospreymoor bundle check FILE...
 type bundleCheckCommand struct {
 	Files []string `arg:"" name:"file" help:"Bundle files."`
 }
 
 // Run checks the files.
 func (c *bundleCheckCommand) Run(out output) error {
-	return eachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
+	return forEachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
 		_, err := fmt.Fprintf(out, "%s version %d: %d models, %d adapters, %d services: good\n",
 			b.Customer, b.Version, len(b.Models), len(b.Adapters), len(b.Services))
 		return err
--- a/internal/cmd/bundle_list.go
+++ b/internal/cmd/bundle_list.go
@@ -10,7 +10,9 @@
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
 )
 
-// ospreymoor bundle list --token TOKEN [--box URL]
+// bundleListCommand lists the customer's signed-off bundle versions.
+//
+//	ospreymoor bundle list --token TOKEN [--box URL]
 type bundleListCommand struct {
 	operatorFlags
 }
--- a/internal/cmd/bundle_retire.go
+++ b/internal/cmd/bundle_retire.go
@@ -10,7 +10,9 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// ospreymoor bundle retire FILE... --token TOKEN [--box URL]
+// bundleRetireCommand takes bundle versions that are in force out of service.
+//
+//	ospreymoor bundle retire FILE... --token TOKEN [--box URL]
 type bundleRetireCommand struct {
 	operatorFlags
 	Files []string `arg:"" name:"file" help:"Bundle files whose versions are in force."`
@@ -22,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	return eachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
+	return forEachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
 		answer, err := client.RetireBundle(ctx, withToken(c.operatorFlags, &ospreymoorv1.RetireBundleRequest{Version: b.Version}))
 		if err != nil {
 			return errors.Annotate(err, "retiring")
--- a/internal/cmd/bundle_roll.go
+++ b/internal/cmd/bundle_roll.go
@@ -10,7 +10,9 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// ospreymoor bundle roll FILE... --token TOKEN [--box URL]
+// bundleRollCommand puts signed-off bundle versions in force.
+//
+//	ospreymoor bundle roll FILE... --token TOKEN [--box URL]
 type bundleRollCommand struct {
 	operatorFlags
 	Files []string `arg:"" name:"file" help:"Bundle files whose versions are signed off."`
@@ -22,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	return eachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
+	return forEachBundle(c.Files, func(b *bundle.Bundle, _ string) error {
 		answer, err := client.RollBundle(ctx, withToken(c.operatorFlags, &ospreymoorv1.RollBundleRequest{Version: b.Version}))
 		if err != nil {
 			return errors.Annotate(err, "rolling")
--- a/internal/cmd/bundle_sign_off.go
+++ b/internal/cmd/bundle_sign_off.go
@@ -10,7 +10,9 @@
 	"ospreymoor.example/ospreymoor/pkg/bundle"
 )
 
-// ospreymoor bundle sign-off FILE... --token TOKEN [--box URL]
+// bundleSignOffCommand stores bundle versions permanently.
+//
+//	ospreymoor bundle sign-off FILE... --token TOKEN [--box URL]
 type bundleSignOffCommand struct {
 	operatorFlags
 	Files []string `arg:"" name:"file" help:"Bundle files."`
@@ -22,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	return eachBundle(c.Files, func(_ *bundle.Bundle, yaml string) error {
+	return forEachBundle(c.Files, func(_ *bundle.Bundle, yaml string) error {
 		answer, err := client.SignOffBundle(ctx, withToken(c.operatorFlags, &ospreymoorv1.SignOffBundleRequest{Yaml: yaml}))
 		if err != nil {
 			return errors.Annotate(err, "signing off")
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,8 +1,8 @@
-// Package cmd is ospreymoor's command line, one file for each command.
+// Package cmd implements ospreymoor's command line, one file for each command.
 //
-// It owns flags, variables, exit codes and what commands print. Each command checks its settings
-// and then calls one package: internal/box for `serve` (the native way), platform for `node` (the
-// users' platform), internal/dev for `dev`, and the operators' service of a box for the others.
+// It defines flags, environment variables, exit codes and what commands print. Each command checks its
+// settings and then calls one package: internal/box for `serve` (the native mode), platform for `node`
+// (the users' platform), internal/dev for `dev`. Most of the others call the operators' service of a box.
 package cmd
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/juju/errors"
 )
 
-// envPrefix begins the name of each setting's variable.
+// envPrefix is the prefix of each setting's environment variable.
 const envPrefix = "OSPREYMOOR_"
 
-// errSettings means that a setting is missing, unknown, wrong or contradicts another. Its errors
-// name the flag, the variable and the remedy.
+// errSettings is the kind of the errors of settings that are missing, unknown, invalid or contradict
+// another one. Their messages name the flag, the variable and the remedy.
 const errSettings = errors.ConstError("bad settings")
 
-// Exit codes: 2 is for what the caller of the command must correct.
+// Exit codes. exitSettings is for mistakes that the caller of the command must correct.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// commandLine is the whole command line.
+// commandLine defines all commands and flags.
 type commandLine struct {
 	Serve   serveCommand   `cmd:"" help:"Run an entry box."`
 	Node    nodeCommand    `cmd:"" help:"Run one box on the users' platform."`
@@ -43,51 +43,51 @@
 	Standin standinCommand `cmd:"" hidden:"" help:"Run a stand-in of the platform, an engine or a service."`
 }
 
-// output is where a command prints: results, and errors that do not end it.
+// output is where a command prints its results, and the errors that do not end it.
 type output struct {
 	io.Writer
 	errors io.Writer
 }
 
-// hangUps receives SIGHUP, which would end a process that does not ask for it.
-var hangUps = make(chan os.Signal, 1)
+// reloadSignals receives SIGHUP, which would end the process if no channel were registered for it.
+var reloadSignals = make(chan os.Signal, 1)
 
 // Main runs one command and returns the process's exit code.
 func Main(args []string, out, errOut io.Writer) int {
-	// Before anything else: a settings file may change while the process starts.
-	signal.Notify(hangUps, syscall.SIGHUP)
+	// Registered before anything else, since a settings file may change while the process starts.
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	var line commandLine
-	exited := -1
+	exitCode := -1
 	parser, err := kong.New(&line,
 		kong.Name("ospreymoor"),
 		kong.Description("Serves many models on few accelerators, for customers who do not trust each other."),
 		kong.Writers(out, errOut),
-		kong.Exit(func(code int) { exited = code }),
+		kong.Exit(func(code int) { exitCode = code }),
 	)
 	if err != nil {
-		panic(err) // The command line's own definition is wrong.
+		panic(err) // The definition of commandLine is invalid.
 	}
 	command, err := parser.Parse(args)
-	if exited >= 0 {
-		return exited // After --help.
+	if exitCode >= 0 {
+		return exitCode // After --help.
 	}
 	if err != nil {
-		return fail(errOut, settingsError("%s: see ospreymoor --help", err))
+		return printError(errOut, settingsError("%s: see ospreymoor --help", err))
 	}
 	if err := checkVariables(parser.Model); err != nil {
-		return fail(errOut, err)
+		return printError(errOut, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	command.BindTo(ctx, (*context.Context)(nil))
 	if err := command.Run(output{out, errOut}); err != nil {
-		return fail(errOut, err)
+		return printError(errOut, err)
 	}
 	return exitOK
 }
 
-// fail prints an error and returns its exit code.
-func fail(errOut io.Writer, err error) int {
+// printError prints an error and returns its exit code.
+func printError(errOut io.Writer, err error) int {
 	_, _ = fmt.Fprintf(errOut, "ospreymoor: %s\n", err)
 	if errors.Is(err, errSettings) {
 		return exitSettings
@@ -95,11 +95,11 @@
 	return exitFailed
 }
 
-// checkVariables is the error of the first variable with envPrefix that names no setting: it is
-// misspelt.
+// checkVariables returns an error for the first environment variable with envPrefix that names no
+// setting, which is probably misspelt.
 func checkVariables(app *kong.Application) error {
 	known := map[string]bool{}
-	// The visit can't fail: its function returns no error of its own.
+	// The visit can't fail, since its function returns no error of its own.
 	_ = kong.Visit(app, func(node kong.Visitable, next kong.Next) error {
 		if flag, ok := node.(*kong.Flag); ok {
 			for _, name := range flag.Envs {
@@ -117,22 +117,22 @@
 	return nil
 }
 
-// settingsError is an errSettings with its own message.
+// settingsError returns an error of kind errSettings with its own message.
 func settingsError(format string, args ...any) error {
 	return errors.WithType(errors.Errorf(format, args...), errSettings)
 }
 
-// missing is the error of a setting that has no value.
-func missing(flag, remedy string) error {
+// missingSetting returns the error of a setting that has no value.
+func missingSetting(flag, remedy string) error {
 	return settingsError("--%s (%s) is missing: %s", flag, variable(flag), remedy)
 }
 
-// wrong is the error of a setting whose value can't be used.
-func wrong(flag string, value any, remedy string) error {
+// invalidSetting returns the error of a setting whose value is invalid.
+func invalidSetting(flag string, value any, remedy string) error {
 	return settingsError("--%s (%s) is %v: %s", flag, variable(flag), value, remedy)
 }
 
-// variable is the name of a flag's environment variable.
+// variable returns the name of a flag's environment variable.
 func variable(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
--- a/internal/cmd/dev_platform.go
+++ b/internal/cmd/dev_platform.go
@@ -16,18 +16,18 @@
 	"ospreymoor.example/ospreymoor/platform/standin"
 )
 
-// Sizes of the fleet that dev starts on the platform's stand-ins.
+// Sizes of the fleet that dev starts on stand-ins of the users' platform.
 const (
 	devEngines       = 3
 	devModels        = 4
 	devPlatformBoxes = 2
-	// devEvents is how many events answer a stream.
+	// devEvents is how many events a streamed answer has.
 	devEvents = 8
 )
 
-// runOnPlatform runs stand-ins of the users' platform (its store, engines and a plain service) with
-// boxes before them, and sends requests or shows how to.
-func (c *devCommand) runOnPlatform(ctx context.Context, log *zap.Logger, out output) error {
+// runPlatformMode runs stand-ins of the users' platform (its store, engines and a plain service) and boxes in
+// front of them. It prints example requests, and sends them with --once.
+func (c *devCommand) runPlatformMode(ctx context.Context, log *zap.Logger, out output) error {
 	fleet, err := standin.StartFleet(standin.FleetOptions{
 		Engines: devEngines, Models: devModels, Events: devEvents, Gap: devTokenTime,
 	})
@@ -39,8 +39,8 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // What stays of it lies in the system's temporary folder.
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer func() { _ = os.RemoveAll(folder) }() // A failure is ignored: the files are in the temporary folder.
+	boxesCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var boxes sync.WaitGroup
 	defer boxes.Wait()
 	defer stop()
@@ -55,7 +55,7 @@
 			return err
 		}
 		boxes.Go(func() {
-			if err := platform.Run(running, platform.Options{SettingsFile: path, LeaseTTL: devLeaseTTL, Log: log}); err != nil {
+			if err := platform.Run(boxesCtx, platform.Options{SettingsFile: path, LeaseTTL: devLeaseTTL, Log: log}); err != nil {
 				_, _ = fmt.Fprintln(out.errors, err)
 			}
 		})
@@ -65,26 +65,26 @@
 		front = box.Front
 	}
 	_, _ = fmt.Fprintf(out, "%d boxes before %d engines and a plain service\n\n", devPlatformBoxes, devEngines)
-	return c.tryPlatform(ctx, front, out)
+	return c.runExamples(ctx, front, out)
 }
 
-// Times of dev.
+// Durations of dev in platform mode.
 const (
-	// devLeaseTTL is how long the order lease lasts without a renewal: the least that node takes.
+	// devLeaseTTL is how long the order lease lasts without a renewal: the shortest that node accepts.
 	devLeaseTTL = minOrderLeaseTTL
-	// devReadyTime bounds the start of a box, devReadyPause is the time between two looks.
-	devReadyTime  = 10 * time.Second
-	devReadyPause = 50 * time.Millisecond
-	// devTryTime bounds the tries of one request: a model that no engine holds is loaded first.
-	// devTryPause is the time between two tries.
-	devTryTime  = 15 * time.Second
-	devTryPause = 200 * time.Millisecond
+	// devReadyTimeout is the timeout for the start of a box, devReadyInterval the time between two checks.
+	devReadyTimeout  = 10 * time.Second
+	devReadyInterval = 50 * time.Millisecond
+	// devRequestTimeout is the timeout for one request with its retries: a model that no engine holds is loaded
+	// first. devRetryInterval is the time between two attempts.
+	devRequestTimeout = 15 * time.Second
+	devRetryInterval  = 200 * time.Millisecond
 )
 
-// awaitReady waits until a box is ready. Before, its page cannot be reached or answers 503: neither
-// is reported.
+// awaitReady waits until a box is ready. Until then its page cannot be reached or answers 503, which is
+// not reported.
 func awaitReady(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, devReadyTime)
+	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		response, err := http.Get("http://" + address + "/ready")
@@ -94,14 +94,14 @@
 				return nil
 			}
 		}
-		time.Sleep(devReadyPause)
+		time.Sleep(devReadyInterval)
 	}
 	return errors.Annotatef(ctx.Err(), "waiting for %s", address)
 }
 
-// platformExample is one request that dev shows; model may be empty.
+// platformExample is one request that dev prints; model may be empty.
 type platformExample struct {
-	about, path, model string
+	description, path, model string
 }
 
 var platformExamples = []platformExample{
@@ -111,17 +111,17 @@
 	{"a model that is loaded first", standin.StreamPath + "3", standin.ModelName(devModels - 1)},
 }
 
-// tryPlatform prints the examples. With --once it sends them too; without, it waits for ctx.
-func (c *devCommand) tryPlatform(ctx context.Context, front string, out output) error {
+// runExamples prints the examples. With --once it also sends them; without, it waits until ctx ends.
+func (c *devCommand) runExamples(ctx context.Context, front string, out output) error {
 	for n, example := range platformExamples {
 		curl := standin.Curl(front, fmt.Sprint("try-", n), example.path, example.model)
-		_, _ = fmt.Fprintf(out, "%s:\n  %s\n", example.about, curl)
+		_, _ = fmt.Fprintf(out, "%s:\n  %s\n", example.description, curl)
 		if !c.Once {
 			continue
 		}
 		text, err := example.send(ctx, front, n)
 		if err != nil {
-			return errors.Annotate(err, example.about)
+			return errors.Annotate(err, example.description)
 		}
 		_, _ = fmt.Fprintf(out, "  %s\n", strings.ReplaceAll(strings.TrimSpace(text), "\n", "\n  "))
 	}
@@ -131,21 +131,22 @@
 	return nil
 }
 
-// send sends the example until it is served. A refusal is tried again: a model may be loading.
+// send sends the example until it is served or devRequestTimeout has passed. It retries after a refusal, since a
+// model may still be loading.
 func (e platformExample) send(ctx context.Context, front string, n int) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, devTryTime)
+	ctx, cancel := context.WithTimeout(ctx, devRequestTimeout)
 	defer cancel()
-	last := errors.New("not tried")
-	for try := 0; ctx.Err() == nil; try++ {
-		reply, err := standin.Ask(ctx, front, fmt.Sprintf("dev-%d-%d", n, try), e.path, e.model)
+	lastErr := errors.New("not tried")
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		reply, err := standin.Ask(ctx, front, fmt.Sprintf("dev-%d-%d", n, attempt), e.path, e.model)
 		if err != nil {
 			return "", errors.Trace(err)
 		}
 		if reply.Status == http.StatusOK {
 			return reply.Body, nil
 		}
-		last = errors.Errorf("status %d: %s", reply.Status, strings.TrimSpace(reply.Body))
-		time.Sleep(devTryPause)
+		lastErr = errors.Errorf("status %d: %s", reply.Status, strings.TrimSpace(reply.Body))
+		time.Sleep(devRetryInterval)
 	}
-	return "", last
+	return "", lastErr
 }
--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -12,15 +12,15 @@
 	"ospreymoor.example/ospreymoor/platform"
 )
 
-// ospreymoor node --settings FILE [flags]
+// nodeCommand runs one box on the users' platform until SIGTERM, then drains it. On SIGHUP the box reads
+// and checks the settings file again.
 //
-// Runs one box on the users' platform until SIGTERM, then drains it. SIGHUP makes it read and
-// check the settings file again.
+//	ospreymoor node --settings FILE [flags]
 //
-// The defaults' origins: 3 s of lease bear a holder's loss better than 5 s and freezes worse
-// (docs/design/platform.md, "The order lease"); a load cost of 0.3 squared engine time keeps
-// replicas from moving with the noise of demand: mean worth of 18 plays 0.547, 0.586, 0.597, 0.591 and 0.579
-// at 0.03, 0.1, 0.3, 0.6 and 1.2 (docs/rounds/01-placement.md).
+// An order lease of 3 s tolerates the loss of its holder better than one of 5 s, and freezes less well
+// (docs/design/platform.md, "The order lease"). A load cost of 0.3 squared engine time keeps replicas from
+// moving with random changes of demand: the mean worth over 18 plays was 0.547, 0.586, 0.597, 0.591 and 0.579
+// at load costs of 0.03, 0.1, 0.3, 0.6 and 1.2 (docs/rounds/01-placement.md).
 type nodeCommand struct {
 	Settings    string        `name:"settings" env:"OSPREYMOOR_NODE_FILE" default:"/etc/ospreymoor/local.yaml" help:"The platform's settings file."`
 	MetricsPort int           `name:"metrics-port" env:"OSPREYMOOR_METRICS_PORT" default:"0" help:"Port for metrics on the box's address; 0 serves none."`
@@ -30,26 +30,27 @@
 }
 
 const (
-	// minOrderLeaseTTL is the shortest order lease: a lease is renewed three times in that time.
+	// minOrderLeaseTTL is the shortest order lease that may be set: a lease is renewed three times within its
+	// TTL.
 	minOrderLeaseTTL = 3 * time.Second
-	// maxPort is the highest port number of TCP.
+	// maxPort is the highest TCP port.
 	maxPort = 65535
 )
 
 // Run runs the box.
 func (c *nodeCommand) Run(ctx context.Context, _ output) error {
 	if c.LeaseTTL < minOrderLeaseTTL {
-		return wrong("order-lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
+		return invalidSetting("order-lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
 	}
 	if c.MoveCost < 0 {
-		return wrong("load-cost", c.MoveCost, "give 0 or more")
+		return invalidSetting("load-cost", c.MoveCost, "give 0 or more")
 	}
 	if c.MetricsPort < 0 || c.MetricsPort > maxPort {
-		return wrong("metrics-port", c.MetricsPort, "give a port, or 0")
+		return invalidSetting("metrics-port", c.MetricsPort, "give a port, or 0")
 	}
 	level, err := zapcore.ParseLevel(c.LogLevel)
 	if err != nil {
-		return wrong("node-log-level", c.LogLevel, "give debug, info, warn or error")
+		return invalidSetting("node-log-level", c.LogLevel, "give debug, info, warn or error")
 	}
 	set := metrics.NewSet()
 	sink := logging.NewSink(os.Stdout, set)
@@ -62,6 +63,6 @@
 		Log:          logging.New(level, sink, set),
 		Lifecycle:    logging.Lifecycle(sink),
 		Set:          set,
-		Reload:       hangUps,
+		Reload:       reloadSignals,
 	})
 }
--- a/internal/cmd/pages_test.go
+++ b/internal/cmd/pages_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// A reference on a page is a Go file, with the function or type that is meant behind it: `pkg/a/b.go`, `Name`.
+// reference matches a Go file named on a page, and the name of a declaration after it: `pkg/a/b.go`, `Name`.
 var reference = regexp.MustCompile("`([a-z0-9_]+(?:/[a-z0-9_]+)+\\.go)`(?:, `([A-Za-z][A-Za-z0-9.]*)`)?")
 
 var _ = Describe("The pages for readers", func() {
@@ -27,7 +27,7 @@
 	}
 })
 
-// expectReference fails unless the file exists and declares the name, which may be Type.Method.
+// expectReference fails the spec unless the file exists and declares the name, which may be Type.Method.
 func expectReference(file, name string) {
 	GinkgoHelper()
 	code, err := os.ReadFile(filepath.Join("../..", file))
--- a/internal/cmd/report_burn.go
+++ b/internal/cmd/report_burn.go
@@ -13,9 +13,10 @@
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
 )
 
-// ospreymoor report burn --token TOKEN [--box URL] [--format table|json|svg]
+// reportBurnCommand prints the error budgets and burn rates of the customer's models. The report adds up the
+// counters of all boxes that answer, and of those whose counters other boxes keep.
 //
-// Adds up the counters of all boxes that answer, and of those whose counters others keep.
+//	ospreymoor report burn --token TOKEN [--box URL] [--format table|json|svg]
 type reportBurnCommand struct {
 	operatorFlags
 	Format string `name:"format" default:"table" enum:"table,json,svg" help:"table, json or svg (a picture)."`
@@ -61,7 +62,7 @@
 	return table.Flush()
 }
 
-// share is a part of a whole in percent, a dash if the whole is nothing.
+// share returns part of whole in percent, or a dash if whole is 0.
 func share(part, whole uint64) string {
 	if whole == 0 {
 		return "-"
@@ -71,7 +72,7 @@
 
 func percent(f float64) string { return fmt.Sprintf("%.1f%%", 100*f) }
 
-// reasons lists refusals by reason, the most frequent first.
+// reasons returns the number of refusals for each reason, the most frequent first.
 func reasons(refused map[string]uint64) string {
 	if len(refused) == 0 {
 		return "0"
--- a/internal/cmd/report_burn_picture.go
+++ b/internal/cmd/report_burn_picture.go
@@ -8,16 +8,16 @@
 	ospreymoorv1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/v1"
 )
 
-// Sizes of the picture in pixels.
+// Sizes of the charts in pixels.
 const (
-	pictureHeight  = 420
-	pictureBar     = 36
-	pictureSpacing = 34
-	pictureMargin  = 120
+	pictureHeight   = 420
+	pictureBarWidth = 36
+	pictureSpacing  = 34
+	pictureMargin   = 120
 )
 
-// drawBurn draws the share served within target of each model, as SVG: green where the
-// objective is met, red where it is not.
+// drawBurn writes a bar chart of each model's share of requests served within target, as SVG: green if
+// the objective is met, red if it is not.
 func drawBurn(out io.Writer, report *ospreymoorv1.GetBurnResponse) error {
 	lines := report.GetLines()
 	if len(lines) == 0 {
@@ -25,9 +25,9 @@
 	}
 	picture := chart.BarChart{
 		Title:      "Served within target",
-		Width:      pictureMargin + len(lines)*(pictureBar+pictureSpacing),
+		Width:      pictureMargin + len(lines)*(pictureBarWidth+pictureSpacing),
 		Height:     pictureHeight,
-		BarWidth:   pictureBar,
+		BarWidth:   pictureBarWidth,
 		BarSpacing: pictureSpacing,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Bottom: 60}},
 		YAxis: chart.YAxis{
@@ -42,7 +42,7 @@
 	return picture.Render(chart.SVG, out)
 }
 
-// burnBar is the bar of one model or service.
+// burnBar returns the bar of one model or service.
 func burnBar(line *ospreymoorv1.BurnLine) chart.Value {
 	share := 0.0
 	if line.GetRequests() > 0 {
--- a/internal/cmd/report_crashes.go
+++ b/internal/cmd/report_crashes.go
@@ -11,15 +11,16 @@
 	"ospreymoor.example/ospreymoor/internal/requestlog"
 )
 
-// ospreymoor report crashes [FILE...]
+// reportCrashesCommand reads the logs of boxes on the users' platform, or standard input without a file. It
+// prints the contents of requests under which upstreams crashed: how many upstreams, under how many requests
+// and when, and how often boxes refused that content.
 //
-// Reads the logs of boxes of the users' platform, or standard input without a file, and prints under which
-// requests upstreams crashed, by their content: how many upstreams, when, and how often boxes refused it.
+//	ospreymoor report crashes [FILE...]
 type reportCrashesCommand struct {
 	Files []string `arg:"" optional:"" name:"file" help:"Logs of boxes; without one, standard input."`
 }
 
-// errNoCrashes means that a log has no crashes to report.
+// errNoCrashes means that the logs contain no crashes.
 const errNoCrashes = errors.ConstError("no upstream crashed under a request in the log: check the files")
 
 // Run prints the report.
@@ -34,7 +35,7 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(table, "CONTENT\tUPSTREAMS\tREQUESTS\tREFUSED\tFIRST\tSPAN\t\n")
-	for _, row := range rows[:min(len(rows), worstRows)] {
+	for _, row := range rows[:min(len(rows), maxRows)] {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%s\t\n", row.Content, row.Upstreams, row.Requests, row.Refused,
 			row.First.Format(time.RFC3339Nano), row.Last.Sub(row.First).Round(time.Millisecond))
 	}
--- a/internal/cmd/report_crashes_test.go
+++ b/internal/cmd/report_crashes_test.go
@@ -20,7 +20,7 @@
 		return code, stdout.String(), stderr.String()
 	}
 
-	It("has the content under which most upstreams crashed first", func() {
+	It("lists first the content under which most upstreams crashed", func() {
 		code, out, _ := run(`{"msg":"attempt failed","ts":"2026-12-02T10:00:00Z","id":"r1","backend":"e1","crashed":true,"content":"bb"}
 {"msg":"attempt failed","ts":"2026-12-02T10:00:00Z","id":"r2","backend":"e1","crashed":true,"content":"aa"}
 {"msg":"attempt failed","ts":"2026-12-02T10:00:01.5Z","id":"r3","backend":"e2","crashed":true,"content":"aa"}
@@ -29,7 +29,7 @@
 		Expect(out).To(MatchRegexp(`aa\s+2\s+2\s+0\s+2026-12-02T10:00:00Z\s+1.5s\s+bb\s+1\s+1\s+0`))
 	})
 
-	It("says so where nothing crashed", func() {
+	It("fails with a message if no upstream crashed", func() {
 		code, _, errs := run(`{"msg":"start"}`)
 		Expect(code).To(Equal(1))
 		Expect(errs).To(ContainSubstring("no upstream crashed"))
--- a/internal/cmd/report_requests.go
+++ b/internal/cmd/report_requests.go
@@ -14,10 +14,10 @@
 	"ospreymoor.example/ospreymoor/pkg/burn"
 )
 
-// ospreymoor report requests [FILE...] [--from 10s] [--to 20s] [--objective 0.95] [--picture FILE]
+// reportRequestsCommand reads the logs of boxes on the users' platform, or standard input without a file,
+// and prints how requests ended: by route, customer, model, reason and second, the ten worst of each.
 //
-// Reads the logs of boxes of the users' platform, or standard input without a file, and prints how
-// requests ended: by route, customer, model, reason and second, the ten worst of each.
+//	ospreymoor report requests [FILE...] [--from 10s] [--to 20s] [--objective 0.95] [--picture FILE]
 type reportRequestsCommand struct {
 	Files     []string      `arg:"" optional:"" name:"file" help:"Logs of boxes; without one, standard input."`
 	From      time.Duration `name:"from" default:"0s" help:"Begin of the span, from the first request that ended."`
@@ -26,11 +26,11 @@
 	Picture   string        `name:"picture" help:"File for a picture (SVG) over time."`
 }
 
-// errNoRequests means that a log has no requests to report.
+// errNoRequests means that the logs contain no requests within the span.
 const errNoRequests = errors.ConstError("no request ended in the log or span: check the files, --from and --to")
 
-// worstRows is how many rows each table has at most.
-const worstRows = 10
+// maxRows is the maximum number of rows of a table; the worst come first.
+const maxRows = 10
 
 // Run prints the report.
 func (c *reportRequestsCommand) Run(_ context.Context, out output) error {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return settingsError("%v: give the file of a box's log", err)
 	}
-	defer func() { _ = file.Close() }() // It was only read.
+	defer func() { _ = file.Close() }() // The file was only read, so an error of Close is ignored.
 	return errors.Annotate(log.Read(file), name)
 }
 
@@ -98,7 +98,7 @@
 	first := requestlog.First(requests)
 	groups := []struct {
 		title string
-		of    func(requestlog.Request) string
+		key   func(requestlog.Request) string
 	}{
 		{"ROUTE", func(r requestlog.Request) string { return r.Route }},
 		{"CUSTOMER", func(r requestlog.Request) string { return r.Customer }},
@@ -107,7 +107,7 @@
 		{"SECOND", func(r requestlog.Request) string { return fmt.Sprint(int(r.Ended.Sub(first).Seconds())) }},
 	}
 	for _, group := range groups {
-		if err := printTally(out, group.title, requestlog.Tally(requests, group.of)); err != nil {
+		if err := printTally(out, group.title, requestlog.Tally(requests, group.key)); err != nil {
 			return err
 		}
 	}
@@ -117,7 +117,7 @@
 func printTally(out io.Writer, title string, rows []requestlog.Row) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(table, "\n%s\tREQUESTS\tIN TIME\tLATE FIRST\tLATE PAUSE\tREFUSED\tFAILED\tCALLER LEFT\t\n", title)
-	for _, row := range rows[:min(len(rows), worstRows)] {
+	for _, row := range rows[:min(len(rows), maxRows)] {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t", row.Name, row.Total())
 		for _, outcome := range requestlog.Outcomes {
 			_, _ = fmt.Fprintf(table, "%d\t", row.Counts[outcome])
@@ -127,7 +127,7 @@
 	return table.Flush()
 }
 
-// printBurn prints where each route stands against the objective, the worst first.
+// printBurn prints the error budget of each route against the objective, the worst route first.
 func (c *reportRequestsCommand) printBurn(out io.Writer, requests []requestlog.Request) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(table, "\nROUTE\tWITHIN\tTARGET\tBUDGET LEFT\tBURN\t\n")
@@ -138,7 +138,8 @@
 	return table.Flush()
 }
 
-// burnByRoute is the error budget of each route. A caller that left spends none.
+// burnByRoute returns the error budget of each route. Requests without a route, or whose caller left, do not
+// count.
 func burnByRoute(requests []requestlog.Request, objective float64) []burn.Status {
 	counts := map[string]*burn.Counts{}
 	var last time.Time
--- a/internal/cmd/report_requests_picture.go
+++ b/internal/cmd/report_requests_picture.go
@@ -9,10 +9,10 @@
 	"ospreymoor.example/ospreymoor/internal/requestlog"
 )
 
-// pictureWidth is the width of a picture over time in pixels.
+// pictureWidth is the width of the chart of requests over time, in pixels.
 const pictureWidth = 1000
 
-// draw writes the picture: how many requests ended with each outcome, second by second.
+// draw writes a chart of the number of requests that ended with each outcome, by second, as SVG.
 func (c *reportRequestsCommand) draw(requests []requestlog.Request) error {
 	picture := chart.Chart{
 		Title: "Requests a second by how they ended", Width: pictureWidth, Height: pictureHeight,
@@ -28,14 +28,14 @@
 		return settingsError("--picture: %v", err)
 	}
 	if err := picture.Render(chart.SVG, file); err != nil {
-		_ = file.Close() // The error of the drawing is the one that matters.
+		_ = file.Close() // The rendering error is returned instead.
 		return errors.Annotate(err, "drawing the picture")
 	}
 	return errors.Annotate(file.Close(), c.Picture)
 }
 
-// outcomeSeries is how many requests ended with an outcome, by second. It has two points at least, which
-// the chart needs.
+// outcomeSeries returns the number of requests that ended with an outcome, by second. It has at least two
+// points, since the chart needs them.
 func outcomeSeries(requests []requestlog.Request, outcome requestlog.Outcome) chart.ContinuousSeries {
 	first := requestlog.First(requests)
 	counts := make([]float64, 2)
--- a/internal/cmd/report_requests_test.go
+++ b/internal/cmd/report_requests_test.go
@@ -27,7 +27,7 @@
 		return code, stdout.String(), stderr.String()
 	}
 
-	It("counts by route, model, reason and second, and has the error budget", func() {
+	It("counts by route, model, reason and second, and prints the error budget", func() {
 		code, out, _ := run(requestLines)
 		Expect(code).To(BeZero())
 		Expect(out).To(ContainSubstring("3 requests of 4 log lines; 1 lines passed over"))
@@ -37,7 +37,7 @@
 		Expect(out).To(MatchRegexp(`chat\s+50.0%\s+95.0%\s+-900.0%\s+10.0`))
 	})
 
-	It("keeps to the span", func() {
+	It("counts only requests within the span", func() {
 		code, out, _ := run(requestLines, "--from", "1s", "--to", "5s")
 		Expect(code).To(BeZero())
 		Expect(out).To(ContainSubstring("1 requests of 4 log lines"))
@@ -53,7 +53,7 @@
 		Expect(string(text)).To(And(ContainSubstring("<svg"), ContainSubstring("late pause")))
 	})
 
-	It("ends an empty log with another code than bad flags", func() {
+	It("exits with code 1 for an empty log and 2 for invalid flags", func() {
 		code, _, errs := run("")
 		Expect(code).To(Equal(1))
 		Expect(errs).To(ContainSubstring("no request ended"))
--- a/internal/cmd/serve.go
+++ b/internal/cmd/serve.go
@@ -17,14 +17,15 @@
 	"ospreymoor.example/ospreymoor/pkg/placement"
 )
 
-// minLeaseTTL is the shortest lease that may be set: a lease is renewed three times in its time, and the store counts
-// whole seconds.
+// minLeaseTTL is the shortest lease that may be set: a lease is renewed three times within its TTL, and the store's
+// unit is whole seconds.
 const minLeaseTTL = 3 * time.Second
 
-// ospreymoor serve --id BOX --hall HALL --platform URL --listen ADDR --peer-listen ADDR [flags]
+// serveCommand runs an entry box until SIGTERM or SIGINT, then drains it.
 //
-// Runs an entry box until SIGTERM or SIGINT, then drains it. The struct has a field for each flag; the page of settings
-// is checked against it, so it stays flat.
+//	ospreymoor serve --id BOX --hall HALL --platform URL --listen ADDR --peer-listen ADDR [flags]
+//
+// The struct has one field for each flag and no nested ones, since a spec compares them with the page of settings.
 type serveCommand struct {
 	ID           string            `name:"id" env:"OSPREYMOOR_ID" help:"Name of this box in the platform's box list; the host's name if left out."`
 	Hall         string            `name:"hall" env:"OSPREYMOOR_HALL" help:"Hall that this box stands in."`
@@ -53,7 +54,7 @@
 
 // Run runs the box.
 func (c *serveCommand) Run(ctx context.Context, _ output) error {
-	if err := c.fill(); err != nil {
+	if err := c.setDefaults(); err != nil {
 		return err
 	}
 	if err := c.check(); err != nil {
@@ -67,12 +68,12 @@
 	return box.Run(ctx, c.config(log))
 }
 
-// fill derives the settings that were left out: the host's name, and --peer-listen as --peer-address.
-func (c *serveCommand) fill() error {
+// setDefaults sets the settings that were left out: --id to the host's name, and --peer-address to --peer-listen.
+func (c *serveCommand) setDefaults() error {
 	if c.ID == "" {
 		name, err := os.Hostname()
 		if err != nil {
-			return missing("id", "name this box as the platform's box list does")
+			return missingSetting("id", "name this box as the platform's box list does")
 		}
 		c.ID = name
 	}
@@ -82,16 +83,16 @@
 	return nil
 }
 
-// check names the first setting that is missing, wrong or contradicts another.
+// check returns an error for the first setting that is missing, invalid or contradicts another one.
 func (c *serveCommand) check() error {
 	if c.Hall == "" {
-		return missing("hall", "name the hall that this box stands in, such as hall-1")
+		return missingSetting("hall", "name the hall that this box stands in, such as hall-1")
 	}
 	if c.Platform == "" {
-		return missing("platform", "give the platform's URL, such as http://127.0.0.1:2379")
+		return missingSetting("platform", "give the platform's URL, such as http://127.0.0.1:2379")
 	}
 	if u, err := url.Parse(c.Platform); err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		return wrong("platform", c.Platform, "give a URL such as http://127.0.0.1:2379")
+		return invalidSetting("platform", c.Platform, "give a URL such as http://127.0.0.1:2379")
 	}
 	if err := c.checkAddresses(); err != nil {
 		return err
@@ -102,24 +103,25 @@
 	return c.checkNumbers()
 }
 
-// checkAddresses checks the listeners, how peers reach this box, and that peers need a secret beyond loopback.
+// checkAddresses checks the listeners, the address for peers, and that a peer secret is set unless that address is
+// on loopback.
 func (c *serveCommand) checkAddresses() error {
 	addresses := map[string]string{"listen": c.Listen, "peer-listen": c.PeerListen, "peer-address": c.PeerAddress}
 	for _, flag := range []string{"listen", "peer-listen", "peer-address"} {
 		if _, _, err := net.SplitHostPort(addresses[flag]); err != nil {
-			return wrong(flag, addresses[flag], "give IP:PORT, such as 127.0.0.1:8080")
+			return invalidSetting(flag, addresses[flag], "give IP:PORT, such as 127.0.0.1:8080")
 		}
 	}
 	if c.Listen == c.PeerListen && !strings.HasSuffix(c.Listen, ":0") {
-		return wrong("peer-listen", c.PeerListen, "it is --listen too; choose another port")
+		return invalidSetting("peer-listen", c.PeerListen, "it is --listen too; choose another port")
 	}
 	host, _, _ := net.SplitHostPort(c.PeerAddress)
 	ip := net.ParseIP(host)
 	if ip == nil || ip.IsUnspecified() {
-		return wrong("peer-address", c.PeerAddress, "give the IP number by which other boxes reach this one")
+		return invalidSetting("peer-address", c.PeerAddress, "give the IP number by which other boxes reach this one")
 	}
 	if c.PeerSecret == "" && !ip.IsLoopback() {
-		return missing("peer-secret", "give all boxes the same secret; only on loopback it may be left out")
+		return missingSetting("peer-secret", "give all boxes the same secret; only on loopback it may be left out")
 	}
 	return nil
 }
@@ -128,44 +130,44 @@
 func (c *serveCommand) checkOperators() error {
 	for customer, digest := range c.Operator {
 		if sum, err := hex.DecodeString(digest); err != nil || len(sum) != sha256.Size {
-			return wrong("operator", customer+"="+digest, "give 64 hex digits, from printf %s TOKEN | sha256sum")
+			return invalidSetting("operator", customer+"="+digest, "give 64 hex digits, from printf %s TOKEN | sha256sum")
 		}
 	}
 	return nil
 }
 
-// checkNumbers checks times, rates and sizes.
+// checkNumbers checks durations, rates, counts and sizes.
 func (c *serveCommand) checkNumbers() error {
 	durations := map[string]time.Duration{
 		"claim-window": c.ClaimWindow, "lease-ttl": c.LeaseTTL, "order-life": c.OrderLife, "beat-interval": c.BeatInterval,
 	}
 	for _, flag := range []string{"claim-window", "lease-ttl", "order-life", "beat-interval"} {
 		if durations[flag] <= 0 {
-			return wrong(flag, durations[flag], "give a time above 0, such as 6s")
+			return invalidSetting(flag, durations[flag], "give a time above 0, such as 6s")
 		}
 	}
 	if c.LeaseTTL < minLeaseTTL {
-		return wrong("lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
+		return invalidSetting("lease-ttl", c.LeaseTTL, "give 3s or more: a lease is renewed three times in that time")
 	}
 	if c.DrainNotice < 0 || c.DrainLimit < 0 {
-		return wrong("drain-notice", c.DrainNotice, "give times of 0 or more")
+		return invalidSetting("drain-notice", c.DrainNotice, "give times of 0 or more")
 	}
 	if c.KVReads <= 0 || c.KVWrites <= 0 {
-		return wrong("kv-reads", c.KVReads, "give calls a second above 0, and so for --kv-writes")
+		return invalidSetting("kv-reads", c.KVReads, "give calls a second above 0, and so for --kv-writes")
 	}
 	if c.Copies < 1 {
-		return wrong("copies", c.Copies, "give 1 or more")
+		return invalidSetting("copies", c.Copies, "give 1 or more")
 	}
 	if c.MoveCost < 0 || c.Spares < 0 {
-		return wrong("move-cost", c.MoveCost, "give 0 or more, and so for --spare-engines")
+		return invalidSetting("move-cost", c.MoveCost, "give 0 or more, and so for --spare-engines")
 	}
 	if c.MaxBody <= 0 {
-		return wrong("max-body", c.MaxBody, "give bytes above 0, such as 4194304")
+		return invalidSetting("max-body", c.MaxBody, "give bytes above 0, such as 4194304")
 	}
 	return nil
 }
 
-// config groups the settings by the part of the box that they are for.
+// config returns the box's configuration, which groups the settings by the part of the box that uses them.
 func (c *serveCommand) config(log *zap.Logger) box.Config {
 	return box.Config{
 		ID:        c.ID,
@@ -191,11 +193,11 @@
 	}
 }
 
-// newLogger returns a logger of lines in JSON from a level on.
+// newLogger returns a logger that writes lines of at least the given level as JSON.
 func newLogger(level string) (*zap.Logger, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
-		return nil, wrong("log-level", level, "give debug, info, warn or error")
+		return nil, invalidSetting("log-level", level, "give debug, info, warn or error")
 	}
 	config := zap.NewProductionConfig()
 	config.Level = parsed
--- a/internal/cmd/settings_test.go
+++ b/internal/cmd/settings_test.go
@@ -29,7 +29,7 @@
 	})
 })
 
-// settingsTable lists the flags of a command as the table of the settings page.
+// settingsTable returns the flags of a command as the table that the page of settings must contain.
 func settingsTable(command reflect.Type) string {
 	var table strings.Builder
 	table.WriteString("| flag | variable | default | meaning |\n| --- | --- | --- | --- |\n")
--- a/internal/cmd/standin.go
+++ b/internal/cmd/standin.go
@@ -11,9 +11,10 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// ospreymoor standin platform|engine|service
+// standinCommand groups the commands that run a stand-in of a system around ospreymoor, for tests and
+// demonstrations.
 //
-// Runs a stand-in of a system around ospreymoor, for tests and demonstrations.
+//	ospreymoor standin platform|engine|service
 type standinCommand struct {
 	Platform standinPlatformCommand `cmd:"" help:"Key-value service, box list and weight store."`
 	Engine   standinEngineCommand   `cmd:"" help:"Model engine."`
--- a/internal/cmd/standin_engine.go
+++ b/internal/cmd/standin_engine.go
@@ -12,7 +12,9 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// ospreymoor standin engine --listen ADDR [flags]
+// standinEngineCommand runs a stand-in of a model engine.
+//
+//	ospreymoor standin engine --listen ADDR [flags]
 type standinEngineCommand struct {
 	Listen     string        `name:"listen" default:"127.0.0.1:9000" help:"Address to serve on."`
 	Memory     int64         `name:"memory" default:"68719476736" help:"Memory for models, in bytes."`
@@ -38,7 +40,7 @@
 	return serveStandin(ctx, out, c.Listen, standin.NewEngine(config).Handler())
 }
 
-// fetchFrom loads weights from a platform in another process.
+// fetchFrom returns a function that loads weights from a platform stand-in in another process.
 func fetchFrom(platform string) func(context.Context, int64) error {
 	return func(ctx context.Context, bytes int64) error {
 		target := platform + "/weights?" + url.Values{"bytes": {strconv.FormatInt(bytes, 10)}}.Encode()
--- a/internal/cmd/standin_service.go
+++ b/internal/cmd/standin_service.go
@@ -7,7 +7,9 @@
 	"ospreymoor.example/ospreymoor/internal/standin"
 )
 
-// ospreymoor standin service --listen ADDR [--delay TIME]
+// standinServiceCommand runs a stand-in of a plain service.
+//
+//	ospreymoor standin service --listen ADDR [--delay TIME]
 type standinServiceCommand struct {
 	Listen string        `name:"listen" default:"127.0.0.1:9100" help:"Address to serve on."`
 	Delay  time.Duration `name:"delay" default:"0s" help:"Time before each answer."`
--- a/internal/cmd/version.go
+++ b/internal/cmd/version.go
@@ -9,9 +9,9 @@
 // version is the release; CHANGELOG.md lists the changes of each.
 const version = "0.1.0"
 
-// ospreymoor version
+// versionCommand prints the version, the revision that it was built from and the compiler's version.
 //
-// Prints the version, the revision it was built from and the compiler's version.
+//	ospreymoor version
 type versionCommand struct{}
 
 // Run prints the version.
