--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -7,15 +7,16 @@
 	"github.com/juju/errors"
 )
 
-// answer returns a handler that decodes a call's JSON, makes the call and encodes its result.
-func answer[Q any](do func(*http.Request, Q) (any, error)) http.HandlerFunc {
+// handleJSON returns a handler that decodes the JSON body of a call, passes it to do and answers with the result
+// as JSON.
+func handleJSON[Q any](do func(*http.Request, Q) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var q Q
-		if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
+		var request Q
+		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		result, err := do(r, q)
+		result, err := do(r, request)
 		if err != nil {
 			http.Error(w, errors.Details(err), http.StatusInternalServerError)
 			return
@@ -24,20 +25,21 @@
 	}
 }
 
-// writeJSON answers with a value. A failed write is not reported: the caller has gone, and all
-// values that stand-ins answer with can be encoded.
+// writeJSON answers with a value as JSON. It ignores the error: all values that stand-ins answer with can be
+// encoded, so a write fails only if the caller has disconnected.
 func writeJSON(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
 
-// flush sends what was written so far. It fails only if the caller has gone.
+// flush sends what was written so far. It ignores the error, which occurs only if the caller has disconnected.
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
-// LoseAnswer has a call done, drops its answer and breaks the connection. It does not return.
+// LoseAnswer executes a call, drops its answer and closes the connection. It panics with
+// http.ErrAbortHandler and does not return.
 func LoseAnswer(handler http.HandlerFunc, r *http.Request) {
 	handler(discardWriter{header: http.Header{}}, r)
 	panic(http.ErrAbortHandler)
 }
 
-// discardWriter drops an answer.
+// discardWriter is a ResponseWriter that drops the answer.
 type discardWriter struct{ header http.Header }
 
 // Header returns a header that is never sent.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,23 +18,24 @@
 type EngineConfig struct {
 	// Memory is the capacity for weights in bytes.
 	Memory int64
-	// Slots is how many requests run at once; below 1 counts as 1.
+	// Slots is how many requests run at once; values below 1 mean 1.
 	Slots int
-	// Fenced engines refuse orders of a lower term than they have seen.
+	// Fenced makes the engine refuse an order whose term is lower than the highest it has seen, or whose
+	// sequence is not higher than the last one of that term.
 	Fenced bool
-	// FirstToken is the time to the first piece of an answer, TokenTime that between pieces.
+	// FirstToken is the time to the first piece of an answer, TokenTime the time between pieces.
 	FirstToken time.Duration
 	TokenTime  time.Duration
-	// Fetch loads so many bytes of weights; nil takes no time.
+	// Fetch loads the given number of bytes of weights; nil takes no time.
 	Fetch func(ctx context.Context, bytes int64) error
 	// OnOrder may delay or refuse an order before it is processed; nil does nothing.
 	OnOrder func(ctx context.Context, name string) error
-	// Mangle may change, drop or duplicate a message before it is sent; nil does nothing.
+	// Mangle may change, drop or duplicate a message before it is sent; nil sends it unchanged.
 	Mangle func(*enginev1.GenerateResponse) []*enginev1.GenerateResponse
 }
 
-// Engine is a stand-in of a model engine. It never refuses a load for lack of memory: it
-// counts the load as overcommitted, so that a test finds it.
+// Engine is a stand-in of a model engine. It never refuses a load for lack of memory, but counts the load
+// as overcommitted, so that a test can detect it.
 type Engine struct {
 	EngineConfig
 
@@ -53,22 +54,22 @@
 	record      Record
 }
 
-// Record is what an engine recorded, for tests to check against.
+// Record holds what an engine has counted, for tests to check.
 type Record struct {
 	// Prompts counts the runs that were started, by prompt.
 	Prompts map[string]int `json:"prompts"`
-	// Overcommitted counts the loads that took memory past the capacity.
+	// Overcommitted counts the loads that exceeded the memory capacity.
 	Overcommitted int `json:"overcommitted"`
-	// Loads counts the loads that were begun.
+	// Loads counts the loads that were started.
 	Loads int `json:"loads"`
-	// StartedLeaving counts the requests that were refused because the engine leaves.
+	// StartedLeaving counts the requests that were refused because the engine was draining.
 	StartedLeaving int `json:"startedLeaving"`
 }
 
-// compressMinBytes is the length in bytes from which a message is compressed.
+// compressMinBytes is the smallest message that is compressed, in bytes.
 const compressMinBytes = 4096
 
-// NewEngine returns an empty engine.
+// NewEngine returns an engine that holds no models.
 func NewEngine(config EngineConfig) *Engine {
 	e := &Engine{
 		EngineConfig: config,
@@ -82,7 +83,7 @@
 	return e
 }
 
-// Handler serves the engine over HTTP.
+// Handler returns the HTTP handler of the engine's service and of the calls that tests make.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(enginev1connect.NewEngineServiceHandler(e, connect.WithCompressMinBytes(compressMinBytes)))
@@ -91,19 +92,20 @@
 	return mux
 }
 
-// Leave makes the engine refuse new requests.
+// Leave starts to drain the engine: it refuses new requests.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// Restart drops all state, as a crash and a new start do.
+// Restart simulates a crash and restart: it stops all runs, drops them, the loaded items and the highest term
+// seen, and starts a new incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.runs {
-		r.stop()
+		r.cancel()
 	}
 	e.incarnation = uuid.NewString()
 	e.resident, e.loading = map[string]*enginev1.Item{}, map[string]*enginev1.Item{}
@@ -111,7 +113,7 @@
 	e.leaving, e.term, e.sequence = false, 0, 0
 }
 
-// Record returns a copy of what the engine recorded so far.
+// Record returns a copy of what the engine has counted so far.
 func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -12,12 +12,12 @@
 	enginev1 "ospreymoor.example/ospreymoor/internal/gen/ospreymoor/engine/v1"
 )
 
-// errLeaving refuses requests at an engine that leaves.
+// errLeaving is the error by which a draining engine refuses requests.
 var errLeaving = errors.New(engine.ReasonLeaving)
 
-// Load begins to load an item, unless it is resident or loading.
+// Load starts to load an item, unless it is resident or loading.
 func (e *Engine) Load(ctx context.Context, r *connect.Request[enginev1.LoadRequest]) (*connect.Response[enginev1.LoadResponse], error) {
-	if err := e.order(ctx, "load", r.Msg.GetAuthority()); err != nil {
+	if err := e.lockForOrder(ctx, "load", r.Msg.GetAuthority()); err != nil {
 		return nil, err
 	}
 	defer e.mu.Unlock()
@@ -25,21 +25,21 @@
 	if e.resident[item.GetName()] == nil && e.loading[item.GetName()] == nil {
 		e.loading[item.GetName()] = item
 		e.record.Loads++
-		e.noteMemory()
+		e.countOvercommitment()
 		go e.fetch(e.incarnation, item)
 	}
 	return connect.NewResponse(&enginev1.LoadResponse{}), nil
 }
 
-// Unload frees an item, unless a request uses it.
+// Unload frees an item, or fails if a request uses it.
 func (e *Engine) Unload(ctx context.Context, r *connect.Request[enginev1.UnloadRequest]) (*connect.Response[enginev1.UnloadResponse], error) {
-	if err := e.order(ctx, "unload", r.Msg.GetAuthority()); err != nil {
+	if err := e.lockForOrder(ctx, "unload", r.Msg.GetAuthority()); err != nil {
 		return nil, err
 	}
 	defer e.mu.Unlock()
 	name := r.Msg.GetName()
 	for id, run := range e.runs {
-		if !run.done && (run.model == name || run.adapter == name) {
+		if !run.ended && (run.model == name || run.adapter == name) {
 			return nil, connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("request %s uses %s", id, name))
 		}
 	}
@@ -47,9 +47,9 @@
 	return connect.NewResponse(&enginev1.UnloadResponse{}), nil
 }
 
-// SetRole changes the role.
+// SetRole changes the engine's role.
 func (e *Engine) SetRole(ctx context.Context, r *connect.Request[enginev1.SetRoleRequest]) (*connect.Response[enginev1.SetRoleResponse], error) {
-	if err := e.order(ctx, "role", r.Msg.GetAuthority()); err != nil {
+	if err := e.lockForOrder(ctx, "role", r.Msg.GetAuthority()); err != nil {
 		return nil, err
 	}
 	defer e.mu.Unlock()
@@ -57,24 +57,25 @@
 	return connect.NewResponse(&enginev1.SetRoleResponse{}), nil
 }
 
-// Fence raises the term and reports the state.
+// Fence raises the term and returns the engine's state.
 func (e *Engine) Fence(ctx context.Context, r *connect.Request[enginev1.FenceRequest]) (*connect.Response[enginev1.FenceResponse], error) {
-	if err := e.order(ctx, "fence", r.Msg.GetAuthority()); err != nil {
+	if err := e.lockForOrder(ctx, "fence", r.Msg.GetAuthority()); err != nil {
 		return nil, err
 	}
 	defer e.mu.Unlock()
 	return connect.NewResponse(&enginev1.FenceResponse{State: e.state()}), nil
 }
 
-// State reports the state.
+// State returns the engine's state.
 func (e *Engine) State(context.Context, *connect.Request[enginev1.StateRequest]) (*connect.Response[enginev1.StateResponse], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return connect.NewResponse(e.state()), nil
 }
 
-// order checks the authority of an order. It returns with the lock held if it returns no error.
-func (e *Engine) order(ctx context.Context, name string, authority *enginev1.Authority) error {
+// lockForOrder checks the authority of an lockForOrder. If it returns no error, it has locked e.mu and the caller unlocks
+// it.
+func (e *Engine) lockForOrder(ctx context.Context, name string, authority *enginev1.Authority) error {
 	if e.OnOrder != nil {
 		if err := e.OnOrder(ctx, name); err != nil {
 			return err
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// fetch loads an item's weights and makes it resident, unless the engine was restarted meanwhile.
-// A failed fetch leaves the item absent, as engines do: whoever ordered it finds that in the state.
+// fetch loads an item's weights and makes it resident, unless the engine was restarted in the meantime. After
+// a failed load the item is absent, as on real engines; the sender of the order sees that in the state.
 func (e *Engine) fetch(incarnation string, item *enginev1.Item) {
 	var err error
 	if e.Fetch != nil {
@@ -115,8 +116,9 @@
 	}
 }
 
-// noteMemory counts an overcommitment. The caller holds the lock.
-func (e *Engine) noteMemory() {
+// countOvercommitment increments Overcommitted if the resident and loading items exceed the memory. The caller holds
+// the lock.
+func (e *Engine) countOvercommitment() {
 	var bytes int64
 	for _, item := range e.resident {
 		bytes += item.GetBytes()
--- a/internal/standin/etcd.go
+++ b/internal/standin/etcd.go
@@ -10,18 +10,18 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// rangeKeys answers a range call: one key, or all from a key up to an end.
-func rangeKeys(ctx context.Context, store kv.Store, q kv.RangeRequest) (kv.RangeResponse, error) {
+// rangeKeys answers a range call. Without RangeEnd it reads one key; with it, all keys that begin with Key.
+func rangeKeys(ctx context.Context, store kv.Store, request kv.RangeRequest) (kv.RangeResponse, error) {
 	var answer kv.RangeResponse
-	if len(q.RangeEnd) > 0 {
-		snapshot, err := store.Snapshot(ctx, string(q.Key))
+	if len(request.RangeEnd) > 0 {
+		snapshot, err := store.Snapshot(ctx, string(request.Key))
 		answer.Header.Revision = snapshot.Revision
 		for _, record := range snapshot.Records {
 			answer.KVs = append(answer.KVs, keyValue(record))
 		}
 		return answer, err
 	}
-	record, err := store.Get(ctx, string(q.Key))
+	record, err := store.Get(ctx, string(request.Key))
 	if errors.Is(err, kv.ErrNotFound) {
 		return answer, nil
 	}
@@ -29,19 +29,19 @@
 	return answer, err
 }
 
-// transact answers a transaction of one comparison and one step.
-func transact(ctx context.Context, store kv.Store, q kv.TxnRequest) (kv.TxnResponse, error) {
-	if len(q.Compare) != 1 || len(q.Success) != 1 {
+// transact answers a transaction, which must have one comparison and one operation.
+func transact(ctx context.Context, store kv.Store, request kv.TxnRequest) (kv.TxnResponse, error) {
+	if len(request.Compare) != 1 || len(request.Success) != 1 {
 		return kv.TxnResponse{}, errors.New("this stand-in takes one comparison and one step")
 	}
-	revision, err := apply(ctx, store, q.Compare[0].ModRevision, q.Success[0])
+	revision, err := applyOperation(ctx, store, request.Compare[0].ModRevision, request.Success[0])
 	if errors.Is(err, kv.ErrConflict) {
 		return kv.TxnResponse{}, nil
 	}
 	return kv.TxnResponse{Header: kv.Header{Revision: revision}, Succeeded: err == nil}, err
 }
 
-func apply(ctx context.Context, store kv.Store, from int64, op kv.Op) (int64, error) {
+func applyOperation(ctx context.Context, store kv.Store, from int64, op kv.Op) (int64, error) {
 	if op.DeleteRange != nil {
 		return 0, store.Delete(ctx, string(op.DeleteRange.Key), from)
 	}
@@ -54,17 +54,17 @@
 	return record.Revision, err
 }
 
-// renewResult wraps a renewal's answer as the service's stream does.
+// renewResult wraps the answer to a renewal, as etcd's stream does.
 type renewResult struct {
 	Result kv.LeaseResponse `json:"result"`
 }
 
-func renew(ctx context.Context, store kv.Store, q kv.LeaseRequest) (renewResult, error) {
-	err := store.Renew(ctx, kv.LeaseID(q.ID))
+func renew(ctx context.Context, store kv.Store, request kv.LeaseRequest) (renewResult, error) {
+	err := store.Renew(ctx, kv.LeaseID(request.ID))
 	if errors.Is(err, kv.ErrLeaseLost) {
-		return renewResult{Result: kv.LeaseResponse{ID: q.ID}}, nil
+		return renewResult{Result: kv.LeaseResponse{ID: request.ID}}, nil
 	}
-	return renewResult{Result: kv.LeaseResponse{ID: q.ID, TTL: 1}}, err
+	return renewResult{Result: kv.LeaseResponse{ID: request.ID, TTL: 1}}, err
 }
 
 func keyValue(record kv.Record) kv.KeyValue {
@@ -76,17 +76,17 @@
 	}
 }
 
-// watch streams the changes of a prefix until the caller or SetMode ends it.
+// watch streams the changes of a prefix until the caller disconnects or SetMode ends all watches.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
-	var q kv.WatchRequest
-	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
+	var request kv.WatchRequest
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
-	ended := p.ended
+	watchEnd := p.watchEnd
 	p.mu.Unlock()
-	events, err := p.Memory.Store().Watch(r.Context(), kv.Watching{Prefix: string(q.Create.Key), From: q.Create.StartRevision})
+	events, err := p.Memory.Store().Watch(r.Context(), kv.Watching{Prefix: string(request.Create.Key), From: request.Create.StartRevision})
 	if err != nil {
 		http.Error(w, errors.Details(err), http.StatusInternalServerError)
 		return
@@ -103,7 +103,7 @@
 				writeJSON(w, watchMessage(event))
 			}
 			flush(w)
-		case <-ended:
+		case <-watchEnd:
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,46 +10,47 @@
 	"ospreymoor.example/ospreymoor/pkg/membership"
 )
 
-// Fault is the fault injected into one call of the platform.
+// Fault is the fault injected into one call to the platform.
 type Fault int
 
 // The faults of a call.
 const (
-	// FaultNone: the call is done and answered.
+	// FaultNone: the call is executed and answered.
 	FaultNone Fault = iota
-	// FaultDown: the call is neither done nor answered.
+	// FaultDown: the call is neither executed nor answered.
 	FaultDown
-	// FaultLostAnswer: the call is done and its answer is lost.
+	// FaultLostAnswer: the call is executed, but its answer is lost.
 	FaultLostAnswer
 )
 
-// Platform is the key-value service, the box list and the weight store.
+// Platform is a stand-in of the key-value service, the box list and the weight store.
 type Platform struct {
-	// Memory is the key-value service's state.
+	// Memory implements the key-value service.
 	Memory *kv.Memory
 	// Weights is the weight store.
 	Weights *Weights
-	// Fault chooses the fault of a call by its path; nil injects none.
+	// Fault returns the fault of a call, given its path; nil injects none.
 	Fault func(path string) Fault
 
 	mu   sync.Mutex
 	list membership.List
-	// mode is the fault of every call; with FaultNone, Fault chooses.
+	// mode is the fault of every call; if it is FaultNone, Fault is asked.
 	mode Fault
-	// ended is closed, and replaced, to end all watches.
-	ended chan struct{}
+	// watchEnd is closed and replaced to end all watches.
+	watchEnd chan struct{}
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform without keys and boxes.
 func NewPlatform() *Platform {
 	return &Platform{
-		Memory:  kv.NewMemory(),
-		Weights: NewWeights(),
-		ended:   make(chan struct{}),
+		Memory:   kv.NewMemory(),
+		Weights:  NewWeights(),
+		watchEnd: make(chan struct{}),
 	}
 }
 
-// SetMode injects a fault into every call until the next SetMode; watches end at once.
+// SetMode injects a fault into every call until the next SetMode, and ends all watches at once. When it ends
+// FaultDown, the leases restart their TTL.
 func (p *Platform) SetMode(mode Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,15 +58,15 @@
 		p.Memory.RefreshLeases()
 	}
 	p.mode = mode
-	close(p.ended)
-	p.ended = make(chan struct{})
+	close(p.watchEnd)
+	p.watchEnd = make(chan struct{})
 }
 
-// SetBox adds a box to the box list, or changes it.
+// SetBox adds a box to the box list, or replaces the one with its id.
 func (p *Platform) SetBox(box membership.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	boxes := p.without(box.ID)
+	boxes := p.boxesWithout(box.ID)
 	p.list = membership.List{Generation: p.list.Generation + 1, Boxes: append(boxes, box)}
 }
 
@@ -73,10 +74,10 @@
 func (p *Platform) RemoveBox(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = membership.List{Generation: p.list.Generation + 1, Boxes: p.without(id)}
+	p.list = membership.List{Generation: p.list.Generation + 1, Boxes: p.boxesWithout(id)}
 }
 
-func (p *Platform) without(id string) []membership.Box {
+func (p *Platform) boxesWithout(id string) []membership.Box {
 	var boxes []membership.Box
 	for _, box := range p.list.Boxes {
 		if box.ID != id {
@@ -86,24 +87,24 @@
 	return boxes
 }
 
-// Handler serves the platform over HTTP.
+// Handler returns the HTTP handler of the platform.
 func (p *Platform) Handler() http.Handler {
 	store := p.Memory.Store()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+kv.PathRange, p.faulty(answer(func(r *http.Request, q kv.RangeRequest) (any, error) {
+	mux.HandleFunc("POST "+kv.PathRange, p.faulty(handleJSON(func(r *http.Request, q kv.RangeRequest) (any, error) {
 		return rangeKeys(r.Context(), store, q)
 	})))
-	mux.HandleFunc("POST "+kv.PathTxn, p.faulty(answer(func(r *http.Request, q kv.TxnRequest) (any, error) {
+	mux.HandleFunc("POST "+kv.PathTxn, p.faulty(handleJSON(func(r *http.Request, q kv.TxnRequest) (any, error) {
 		return transact(r.Context(), store, q)
 	})))
-	mux.HandleFunc("POST "+kv.PathGrant, p.faulty(answer(func(r *http.Request, q kv.LeaseRequest) (any, error) {
+	mux.HandleFunc("POST "+kv.PathGrant, p.faulty(handleJSON(func(r *http.Request, q kv.LeaseRequest) (any, error) {
 		id, err := store.Grant(r.Context(), time.Duration(q.TTL)*time.Second)
 		return kv.LeaseResponse{ID: int64(id), TTL: q.TTL}, err
 	})))
-	mux.HandleFunc("POST "+kv.PathRenew, p.faulty(answer(func(r *http.Request, q kv.LeaseRequest) (any, error) {
+	mux.HandleFunc("POST "+kv.PathRenew, p.faulty(handleJSON(func(r *http.Request, q kv.LeaseRequest) (any, error) {
 		return renew(r.Context(), store, q)
 	})))
-	mux.HandleFunc("POST "+kv.PathRevoke, p.faulty(answer(func(r *http.Request, q kv.LeaseRequest) (any, error) {
+	mux.HandleFunc("POST "+kv.PathRevoke, p.faulty(handleJSON(func(r *http.Request, q kv.LeaseRequest) (any, error) {
 		return kv.LeaseResponse{}, store.Revoke(r.Context(), kv.LeaseID(q.ID))
 	})))
 	mux.HandleFunc("POST "+kv.PathWatch, p.faulty(p.watch))
@@ -115,7 +116,7 @@
 	return mux
 }
 
-// faulty injects the current fault into the calls of a handler.
+// faulty wraps a handler so that the current fault is injected into its calls.
 func (p *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch p.fault(r.URL.Path) {
@@ -160,7 +161,7 @@
 	p.RemoveBox(r.PathValue("id"))
 }
 
-// setMode takes mode=up, down or lost.
+// setMode handles a call that sets the mode: mode=up, down or lost.
 func (p *Platform) setMode(w http.ResponseWriter, r *http.Request) {
 	modes := map[string]Fault{"up": FaultNone, "down": FaultDown, "lost": FaultLostAnswer}
 	mode, ok := modes[r.URL.Query().Get("mode")]
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// NewServer returns a server of HTTP/1.1 and HTTP/2 without TLS. The library's log lines on broken
-// connections are dropped: the faults that stand-ins inject break them on purpose.
+// NewServer returns a server for HTTP/1.1 and HTTP/2 without TLS. It drops net/http's log lines about broken
+// connections, since the faults that stand-ins inject break connections on purpose.
 func NewServer(handler http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Service is a stand-in of a plain HTTP service. It counts the bodies that were posted.
+// Service is a stand-in of a plain HTTP service. It counts how often each request body was posted.
 type Service struct {
-	// Delay before each answer.
+	// Delay is the time before each answer.
 	Delay time.Duration
 
 	mu   sync.Mutex
@@ -21,14 +21,15 @@
 // NewService returns a service.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
-// Runs returns how often each request body was posted.
+// Runs returns the number of times that each request body was posted.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Handler serves GET with the path, and POST with a count of the same body.
+// Handler returns a handler that answers a GET with its path, and any other method with the number of times
+// that the same body was sent.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /standin/record", func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +39,7 @@
 	return mux
 }
 
-// serve answers one request. A failed write of the answer is ignored: the caller has gone.
+// serve answers one request. It ignores a failed write of the answer: the caller has disconnected.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	time.Sleep(s.Delay)
 	if r.Method == http.MethodGet {
@@ -47,7 +48,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // The body did not arrive whole, so nothing was done and nobody is there to answer.
+		return // The body did not arrive in full: nothing was done, and the caller has disconnected.
 	}
 	s.mu.Lock()
 	s.runs[string(body)]++
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// waiter is a run that waits for a slot. number is its place in the order of arrival, and ready
-// is closed when it gets the slot.
+// waiter is a run that waits for a slot. number is its position in the order of arrival; ready is closed
+// when it gets the slot.
 type waiter struct {
 	priority int32
 	number   int64
@@ -16,14 +16,14 @@
 
 // waitQueue orders runs by priority, then by arrival.
 type waitQueue struct {
-	waiters []*waiter
-	next    int64
+	waiters    []*waiter
+	lastNumber int64
 }
 
-// Len is the number of runs that wait.
+// Len returns the number of waiting runs.
 func (q *waitQueue) Len() int { return len(q.waiters) }
 
-// Less puts the higher priority first, then the earlier arrival.
+// Less reports whether run i has a higher priority than run j, or the same and arrived earlier.
 func (q *waitQueue) Less(i, j int) bool {
 	a, b := q.waiters[i], q.waiters[j]
 	if a.priority != b.priority {
@@ -53,8 +53,8 @@
 		e.mu.Unlock()
 		return true
 	}
-	e.queue.next++
-	w := &waiter{priority: priority, number: e.queue.next, ready: make(chan struct{})}
+	e.queue.lastNumber++
+	w := &waiter{priority: priority, number: e.queue.lastNumber, ready: make(chan struct{})}
 	heap.Push(&e.queue, w)
 	e.mu.Unlock()
 	select {
@@ -65,7 +65,7 @@
 	}
 }
 
-// leaveQueue removes a run from the queue. It reports true if the run was just given a slot.
+// leaveQueue removes a run from the queue. It returns true if the run has got a slot in the meantime.
 func (e *Engine) leaveQueue(w *waiter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,7 +77,7 @@
 	return false
 }
 
-// freeSlot passes the slot to the next waiting run, or frees it.
+// freeSlot gives the slot to the next waiting run, or frees it if none waits.
 func (e *Engine) freeSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// weightStarts is how many loads the weight store begins a second: size of the users' weight store.
-	weightStarts = 2
-	// weightStreams is how many loads it serves at once at full speed: size of the users' weight store.
-	weightStreams = 8
-	// weightBurst is how many loads an idle store begins at once.
-	weightBurst = 4
+	// loadsPerSecond is how many loads the weight store starts a second, as the users' weight store does.
+	loadsPerSecond = 2
+	// maxConcurrentLoads is how many loads it serves at once at full speed, as the users' weight store does.
+	maxConcurrentLoads = 8
+	// loadBurst is how many loads an idle store starts at once.
+	loadBurst = 4
 )
 
-// Weights is the weight store: its rate of loads and the loads at once are limited.
+// Weights is the weight store. It limits the rate of loads and the number of concurrent loads.
 type Weights struct {
-	// BytesPerSecond is the speed of one load; 0 is no time at all.
+	// BytesPerSecond is the speed of one load; 0 means that the transfer takes no time.
 	BytesPerSecond int64
 
-	starts  *rate.Limiter
-	streams chan struct{}
+	limiter *rate.Limiter
+	slots   chan struct{}
 }
 
 // NewWeights returns a weight store.
 func NewWeights() *Weights {
 	return &Weights{
-		starts:  rate.NewLimiter(weightStarts, weightBurst),
-		streams: make(chan struct{}, weightStreams),
+		limiter: rate.NewLimiter(loadsPerSecond, loadBurst),
+		slots:   make(chan struct{}, maxConcurrentLoads),
 	}
 }
 
-// Fetch waits for as long as a load of so many bytes takes. An error is that of ctx.
+// Fetch blocks for as long as a load of the given size takes. It fails only if ctx ends, or would end
+// before the load may start.
 func (s *Weights) Fetch(ctx context.Context, bytes int64) error {
-	if err := s.starts.Wait(ctx); err != nil {
+	if err := s.limiter.Wait(ctx); err != nil {
 		return err
 	}
 	select {
-	case s.streams <- struct{}{}:
+	case s.slots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-s.streams }()
+	defer func() { <-s.slots }()
 	if s.BytesPerSecond == 0 {
 		return nil
 	}
