--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -73,8 +73,8 @@
 	return connect.NewResponse(e.state()), nil
 }
 
-// lockForOrder checks the authority of an lockForOrder. If it returns no error, it has locked e.mu and the caller unlocks
-// it.
+// lockForOrder checks the authority of an order. If it returns no error, it has locked e.mu, and the caller
+// unlocks it.
 func (e *Engine) lockForOrder(ctx context.Context, name string, authority *enginev1.Authority) error {
 	if e.OnOrder != nil {
 		if err := e.OnOrder(ctx, name); err != nil {
