--- a/internal/cmd/dev.go
+++ b/internal/cmd/dev.go
@@ -54,7 +54,7 @@
 	}
 	fleet.Describe(out)
 	if c.Once {
-		return fleet.TryOut(startCtx, out)
+		return fleet.SendExamples(startCtx, out)
 	}
 	<-ctx.Done()
 	_, _ = fmt.Fprintln(out, "stopping")
--- a/internal/dev/box_bench_test.go
+++ b/internal/dev/box_bench_test.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// pieces of one answer in these benchmarks.
+	// pieces is the number of pieces of one answer in these benchmarks.
 	pieces = 64
 	// openStreams is how many streams are held open at once.
 	openStreams = 1000
 )
 
-// BenchmarkBox measures what a box adds to a request: the same answer straight from the
-// engine stand-in and through a box, in one run, over TCP on loopback.
+// BenchmarkBox measures the overhead of a box: it gets the same answer directly from the engine stand-in
+// and through a box, in one run, over TCP on loopback.
 //
 //	go test -run '^$' -bench Box ./internal/dev
 func BenchmarkBox(b *testing.B) {
 	f := startUnlimited(b, Options{Slots: 10 * openStreams, Log: zap.NewNop()})
 	defer f.Stop()
 	client := http2Client()
-	inference := ospreymoorv1connect.NewInferenceServiceClient(client, f.base(0))
-	engine, item := f.holder("masolatkereso/status-helper@status-helper-2026-04")
+	inference := ospreymoorv1connect.NewInferenceServiceClient(client, f.baseURL(0))
+	engine, item := f.engineHolding("masolatkereso/status-helper@status-helper-2026-04")
 	direct := enginev1connect.NewEngineServiceClient(client, "http://"+engine)
 
 	b.Run("direct", func(b *testing.B) {
@@ -55,13 +55,13 @@
 	b.Run("tokens", func(b *testing.B) { measureTokens(b, inference, direct, item) })
 }
 
-// BenchmarkStreams measures memory at 1,000 open streams, each a piece every 200 ms.
+// BenchmarkStreams measures memory at 1,000 open streams, each with a piece every 200 ms.
 //
 //	go test -run '^$' -bench Streams -benchtime 1x ./internal/dev
 func BenchmarkStreams(b *testing.B) {
 	f := startUnlimited(b, Options{Slots: 10 * openStreams, TokenTime: 200 * time.Millisecond, Log: zap.NewNop()})
 	defer f.Stop()
-	measureStreams(b, ospreymoorv1connect.NewInferenceServiceClient(http2Client(), f.base(0)))
+	measureStreams(b, ospreymoorv1connect.NewInferenceServiceClient(http2Client(), f.baseURL(0)))
 }
 
 // startUnlimited starts a fleet with the examples in force, without their limits.
@@ -73,12 +73,12 @@
 	if err := f.RollExamples(b.Context()); err != nil {
 		b.Fatal(err)
 	}
-	f.liftLimits(b)
+	f.removeLimits(b)
 	return f
 }
 
-// liftLimits rolls the examples anew, without limits.
-func (f *Fleet) liftLimits(b *testing.B) {
+// removeLimits puts new versions of the examples in force, without limits.
+func (f *Fleet) removeLimits(b *testing.B) {
 	for _, text := range [][]byte{examples.Masolatkereso, examples.SenVang} {
 		changed := regexp.MustCompile(`requests-per-second: \d+`).ReplaceAll(text, []byte("requests-per-second: 0"))
 		changed = bytes.Replace(changed, []byte("version: 1"), []byte("version: 2"), 1)
@@ -91,7 +91,7 @@
 			b.Fatal(err)
 		}
 	}
-	time.Sleep(8 * time.Second) // In force at all boxes.
+	time.Sleep(8 * time.Second) // Until they are in force at all boxes.
 }
 
 func http2Client() *http.Client {
@@ -100,8 +100,8 @@
 	return &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 }
 
-// holder finds an engine that holds an item.
-func (f *Fleet) holder(item string) (address, name string) {
+// engineHolding returns the address of an engine that holds an item, or "" if none does.
+func (f *Fleet) engineHolding(item string) (address, name string) {
 	for id, e := range f.engines {
 		if e.Holds(item) {
 			return f.addresses[id], item
@@ -128,15 +128,15 @@
 	readWhole(b, stream)
 }
 
-// answer is a stream of either protocol.
-type answer interface {
+// answerStream is the stream of an answer, from an engine or a box.
+type answerStream interface {
 	Receive() bool
 	Err() error
 	Close() error
 }
 
-// readWhole reads an answer to its end and checks that it is whole.
-func readWhole(b *testing.B, stream answer) {
+// readWhole reads an answer to its end and checks that it is complete.
+func readWhole(b *testing.B, stream answerStream) {
 	n := 0
 	for stream.Receive() {
 		n++
@@ -147,11 +147,11 @@
 	_ = stream.Close()
 }
 
-// measureTokens finds the processor time that a box adds to a token: all of the process's with
-// the box on the way, less all of it without.
+// measureTokens measures the CPU time that a box adds to a token: the CPU time of the process for requests
+// through a box, minus that for requests directly to the engine.
 func measureTokens(b *testing.B, inference ospreymoorv1connect.InferenceServiceClient, direct enginev1connect.EngineServiceClient, item string) {
 	const requests = 400
-	timed := func(do func()) time.Duration {
+	cpuTimeOf := func(do func()) time.Duration {
 		before := cpuTime()
 		var running sync.WaitGroup
 		for range 4 {
@@ -164,18 +164,18 @@
 		running.Wait()
 		return cpuTime() - before
 	}
-	var through, straight time.Duration
+	var throughBox, directly time.Duration
 	for b.Loop() {
-		through += timed(func() { fromBox(b, inference) })
-		straight += timed(func() { fromEngine(b, direct, item) })
+		throughBox += cpuTimeOf(func() { fromBox(b, inference) })
+		directly += cpuTimeOf(func() { fromEngine(b, direct, item) })
 	}
 	tokens := float64(b.N * requests * pieces)
-	b.ReportMetric((through-straight).Seconds()/tokens*1e6, "box-µs/token")
-	b.ReportMetric(tokens/(through-straight).Seconds(), "tokens/s/core")
+	b.ReportMetric((throughBox-directly).Seconds()/tokens*1e6, "box-µs/token")
+	b.ReportMetric(tokens/(throughBox-directly).Seconds(), "tokens/s/core")
 }
 
-// measureStreams holds many answers open and finds what memory they take in the process:
-// at the caller, the box and the engine together.
+// measureStreams keeps many streams open and measures the memory that they take in the process, for the
+// caller, the box and the engine together.
 func measureStreams(b *testing.B, inference ospreymoorv1connect.InferenceServiceClient) {
 	for b.Loop() {
 		before := heapInUse()
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,9 +1,9 @@
-// Package dev runs a whole small fleet in one process, on loopback, for `ospreymoor dev` and for
+// Package dev runs a complete small fleet in one process, on loopback, for `ospreymoor dev` and for
 // benchmarks of the data path.
 //
-// It owns the fleet's size, its customers' tokens and the requests of the trial. It runs the native
-// way: real boxes of internal/box on stand-ins of internal/standin. `ospreymoor dev --platform` shows
-// `node` on platform/standin instead and does not use this package.
+// It defines the fleet's size, its customers' tokens and the example requests. The fleet runs in the native
+// mode: real boxes of internal/box on stand-ins of internal/standin. `ospreymoor dev --platform` runs `node`
+// on platform/standin instead and does not use this package.
 package dev
 
 import (
@@ -34,9 +34,9 @@
 	enginesPerHall = 2
 	// engineMemory is 160 GiB, in bytes.
 	engineMemory = 160 << 30
-	// engineSlots is the number of requests at full speed.
+	// engineSlots is the number of requests that an engine runs at full speed.
 	engineSlots = 8
-	// drainNotice is short, 100 ms, because no balancer has to notice.
+	// drainNotice is short, 100 ms, because there is no load balancer that has to notice the drain.
 	drainNotice = 100 * time.Millisecond
 )
 
@@ -48,37 +48,37 @@
 
 // Options describe the stand-ins.
 type Options struct {
-	// FirstToken and TokenTime are the engines' times to the first token and between tokens.
+	// FirstToken is the engines' time to the first token, TokenTime the time between tokens.
 	FirstToken time.Duration
 	TokenTime  time.Duration
-	// Slots of each engine; 0 takes 8. Only benchmarks set it.
+	// Slots is the number of slots of each engine; 0 means 8. Only benchmarks set it.
 	Slots int
-	// Log takes the boxes' log lines.
+	// Log receives the boxes' log lines.
 	Log *zap.Logger
 }
 
-// Fleet is the running fleet.
+// Fleet is a running fleet.
 type Fleet struct {
 	options  Options
 	log      *zap.Logger
 	platform *standin.Platform
-	// url of the platform.
+	// url is the URL of the platform.
 	url     string
 	servers []*http.Server
 	boxes   []*runningBox
 	engines map[string]*standin.Engine
-	// addresses of the engines, by id.
+	// addresses holds the addresses of the engines, by id.
 	addresses map[string]string
 	services  map[string]*standin.Service
 }
 
-// runningBox is one entry box with its id, the address callers use, and the way to stop it.
+// runningBox is one entry box with its id, the address that callers use, and the function that stops it.
 type runningBox struct {
 	*box.Box
 	id      string
 	address string
 	stop    context.CancelFunc
-	// stopped is closed when the box has drained and returned.
+	// stopped is closed when the box has drained and Serve has returned.
 	stopped chan struct{}
 }
 
@@ -122,11 +122,11 @@
 	}
 	stopping.Wait()
 	for _, server := range f.servers {
-		_ = server.Close() // The process ends next; nothing depends on the listener.
+		_ = server.Close() // The error is ignored: the process ends next, and nothing depends on the listener.
 	}
 }
 
-// Describe prints where everything is, and requests to paste.
+// Describe prints the addresses of the platform and the boxes, and commands that send example requests.
 func (f *Fleet) Describe(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "platform  %s\n", f.url)
 	for _, b := range f.boxes {
@@ -222,8 +222,8 @@
 	return nil
 }
 
-// boxConfig has the defaults of `serve`, but for more writes a second to the platform, a bounded
-// drain after a short notice, and a lower move cost.
+// boxConfig returns the configuration of a box: the defaults of `serve` except for more writes a second to
+// the platform, a limited drain after a short notice, and a lower move cost.
 func (f *Fleet) boxConfig(hall, id, peerAddress string) box.Config {
 	operators := map[string]string{}
 	for customer, token := range operatorTokens {
@@ -247,7 +247,7 @@
 	}
 }
 
-// serve serves a handler on a free port of loopback.
+// serve serves a handler on a free loopback port and returns its address.
 func (f *Fleet) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -255,7 +255,7 @@
 	}
 	server := standin.NewServer(handler)
 	f.servers = append(f.servers, server)
-	// Serve returns when Stop closes the server, always with an error that means nothing more.
+	// Serve returns when Stop closes the server; its error then says only that.
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
--- a/internal/dev/try_out.go
+++ b/internal/dev/try_out.go
@@ -19,10 +19,10 @@
 	"ospreymoor.example/ospreymoor/pkg/pause"
 )
 
-// retryPause is the pause before a call that failed is tried again: 100 ms.
-const retryPause = 100 * time.Millisecond
+// retryInterval is the delay before a failed call is retried: 100 ms.
+const retryInterval = 100 * time.Millisecond
 
-// RollExamples signs the example bundles off, rolls them, and waits until each model answers.
+// RollExamples signs off the example bundles, puts them in force, and waits until each model answers.
 func (f *Fleet) RollExamples(ctx context.Context) error {
 	var rolled []*bundle.Bundle
 	for _, text := range [][]byte{examples.Masolatkereso, examples.SenVang} {
@@ -43,13 +43,14 @@
 	return nil
 }
 
-// roll signs a bundle off and puts it in force, as soon as the boxes know their engines.
+// roll signs off a bundle and puts it in force. It retries until that succeeds, since the boxes first have to
+// learn of their engines.
 func (f *Fleet) roll(ctx context.Context, b *bundle.Bundle, text []byte) error {
-	client := ospreymoorv1connect.NewOperatorServiceClient(http.DefaultClient, f.base(0))
+	client := ospreymoorv1connect.NewOperatorServiceClient(http.DefaultClient, f.baseURL(0))
 	token := operatorTokens[b.Customer]
 	signOff := withToken(token, &ospreymoorv1.SignOffBundleRequest{Yaml: string(text)})
 	roll := withToken(token, &ospreymoorv1.RollBundleRequest{Version: b.Version})
-	return until(ctx, func() error {
+	return retryUntil(ctx, func() error {
 		if _, err := client.SignOffBundle(ctx, signOff); err != nil {
 			return err
 		}
@@ -68,9 +69,9 @@
 		requests = append(requests, &ospreymoorv1.GenerateRequest{Model: adapter.Model, Adapter: adapter.Name, Prompt: "ready?", MaxTokens: 1})
 	}
 	for i := range f.boxes {
-		client := ospreymoorv1connect.NewInferenceServiceClient(http.DefaultClient, f.base(i))
+		client := ospreymoorv1connect.NewInferenceServiceClient(http.DefaultClient, f.baseURL(i))
 		for _, request := range requests {
-			err := until(ctx, func() error {
+			err := retryUntil(ctx, func() error {
 				_, err := client.Complete(ctx, withToken(callerTokens[b.Customer], &ospreymoorv1.CompleteRequest{Request: request}))
 				return err
 			})
@@ -82,16 +83,17 @@
 	return nil
 }
 
-// callerTokens are tokens of callers of the example customers.
+// callerTokens holds a caller's token of each example customer.
 var callerTokens = map[string]string{
 	"masolatkereso": "masolatkereso-writer",
 	"senvang":       "senvang-kiosks",
 }
 
-// TryOut sends a streamed request, a plain service's and one that may not be repeated, twice.
-func (f *Fleet) TryOut(ctx context.Context, out io.Writer) error {
-	for _, try := range []func(context.Context, io.Writer) error{f.tryModel, f.tryService, f.tryOnce} {
-		if err := try(ctx, out); err != nil {
+// SendExamples sends a streamed model request, a request to a plain service, and twice, with the same request key,
+// one that must take effect only once.
+func (f *Fleet) SendExamples(ctx context.Context, out io.Writer) error {
+	for _, send := range []func(context.Context, io.Writer) error{f.sendModelRequest, f.sendServiceRequest, f.sendUnrepeatableRequest} {
+		if err := send(ctx, out); err != nil {
 			return err
 		}
 	}
@@ -99,14 +101,14 @@
 	return nil
 }
 
-// tryModel streams one answer of an adapter and checks that it is whole.
-func (f *Fleet) tryModel(ctx context.Context, out io.Writer) error {
-	return errors.Annotate(comeBack(ctx, out, func() error { return f.streamModel(ctx, out) }), "model request")
+// sendModelRequest streams one answer of an adapter and checks that it is complete.
+func (f *Fleet) sendModelRequest(ctx context.Context, out io.Writer) error {
+	return errors.Annotate(retryRefused(ctx, out, func() error { return f.streamModelRequest(ctx, out) }), "model request")
 }
 
-// streamModel is one try of tryModel.
-func (f *Fleet) streamModel(ctx context.Context, out io.Writer) error {
-	client := ospreymoorv1connect.NewInferenceServiceClient(http.DefaultClient, f.base(1))
+// streamModelRequest makes one attempt of sendModelRequest.
+func (f *Fleet) streamModelRequest(ctx context.Context, out io.Writer) error {
+	client := ospreymoorv1connect.NewInferenceServiceClient(http.DefaultClient, f.baseURL(1))
 	request := &ospreymoorv1.GenerateRequest{Model: "wayfinding", Adapter: "phu-quoc", Prompt: "from desk 4 to gate 7", MaxTokens: 8}
 	stream, err := client.Generate(ctx, withToken("senvang-kiosks", request))
 	if err != nil {
@@ -129,15 +131,16 @@
 	return nil
 }
 
-// tryService sends one call to a plain service.
-func (f *Fleet) tryService(ctx context.Context, out io.Writer) error {
+// sendServiceRequest sends one request to a plain service.
+func (f *Fleet) sendServiceRequest(ctx context.Context, out io.Writer) error {
 	answer, err := f.call(ctx, 0, http.MethodGet, "/services/portal/reports/17", "", "")
 	_, _ = fmt.Fprintf(out, "plain service: %s", answer)
 	return err
 }
 
-// tryOnce issues one report twice with one key, at two boxes: it must be issued once.
-func (f *Fleet) tryOnce(ctx context.Context, out io.Writer) error {
+// sendUnrepeatableRequest sends a request for a report to two boxes with the same request key, and fails if the
+// answers differ: the report must be issued only once.
+func (f *Fleet) sendUnrepeatableRequest(ctx context.Context, out io.Writer) error {
 	key := uuid.Must(uuid.NewV7()).String()
 	first, err := f.call(ctx, 0, http.MethodPost, "/services/portal/reports", key, "report 17")
 	if err != nil {
@@ -154,9 +157,9 @@
 	return nil
 }
 
-// call sends a plain-service call to the box of an index, with a request key if it has one.
+// call sends a plain-service request to the box with the index, with a request key unless key is empty.
 func (f *Fleet) call(ctx context.Context, box int, method, path, key, body string) (string, error) {
-	request, err := http.NewRequestWithContext(ctx, method, f.base(box)+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, f.baseURL(box)+path, strings.NewReader(body))
 	if err != nil {
 		return "", errors.Trace(err)
 	}
@@ -176,25 +179,26 @@
 	return string(answer), err
 }
 
-// base is the URL of the box of an index.
-func (f *Fleet) base(box int) string { return "http://" + f.boxes[box].address }
+// baseURL returns the base URL of the box with the index.
+func (f *Fleet) baseURL(box int) string { return "http://" + f.boxes[box].address }
 
-// withToken is a message with a caller's or operator's token.
+// withToken returns a request that carries a caller's or operator's token.
 func withToken[T any](token string, message *T) *connect.Request[T] {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+token)
 	return request
 }
 
-// returns is how often a request comes back that is refused with a time.
-const returns = 5
+// maxRetries is how often a request is retried that is refused with a retry time.
+const maxRetries = 5
 
-// comeBack sends a request again when its refusal says so, a few times, and reports each refusal to out.
-// Without it the try-out ended with a failure on a busy machine, where a request may be refused at first.
-func comeBack(ctx context.Context, out io.Writer, send func() error) error {
-	for range returns {
+// retryRefused sends a request and retries it after the time that its refusal gives, a limited number of times. It
+// prints each refusal to out. Without the retries SendExamples failed on a busy machine, where a request may be
+// refused at first.
+func retryRefused(ctx context.Context, out io.Writer, send func() error) error {
+	for range maxRetries {
 		err := send()
-		after := returnTime(err)
+		after := retryAfter(err)
 		if after == 0 {
 			return err
 		}
@@ -206,8 +210,9 @@
 	return send()
 }
 
-// returnTime is when a refused request that has not run may come back; 0 for any other error.
-func returnTime(err error) time.Duration {
+// retryAfter returns the time after which a refused request that has not run may be retried; 0 for any other
+// error.
+func retryAfter(err error) time.Duration {
 	var refused *connect.Error
 	if !errors.As(err, &refused) {
 		return 0
@@ -215,7 +220,7 @@
 	for _, detail := range refused.Details() {
 		value, err := detail.Value()
 		if err != nil {
-			continue // A detail of another kind says nothing of returning.
+			continue // A detail of an unknown type gives no retry time.
 		}
 		refusal, ok := value.(*ospreymoorv1.Refusal)
 		if ok && refusal.GetOutcome() == ospreymoorv1.Outcome_OUTCOME_NOT_RUN {
@@ -225,9 +230,9 @@
 	return 0
 }
 
-// until retries do after a fixed pause until it succeeds or ctx ends; then it returns do's last
-// error. The pause does not grow: all of it runs on loopback for a minute at most.
-func until(ctx context.Context, do func() error) error {
+// retryUntil calls do until it succeeds or ctx ends, with a fixed delay between the calls. If ctx ends, it returns
+// do's last error. The delay does not grow, since everything runs on loopback and for a minute at most.
+func retryUntil(ctx context.Context, do func() error) error {
 	for {
 		err := do()
 		if err == nil {
@@ -236,7 +241,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Annotate(err, "still failing when the time was over")
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
