--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -99,8 +99,8 @@
 	e.leaving = true
 }
 
-// Restart simulates a crash and restart: it stops all runs, drops them, the loaded items and the highest term
-// seen, and starts a new incarnation.
+// Restart simulates a crash and restart: it stops all runs, clears what is known of runs, items, draining and
+// fencing, and starts a new incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// SetMode injects a fault into every call until the next SetMode, and ends all watches at once. When it ends
-// FaultDown, the leases restart their TTL.
+// SetMode injects a fault into every call until the next SetMode, and ends all watches at once. A change from
+// FaultDown to FaultNone restarts the TTL of all leases.
 func (p *Platform) SetMode(mode Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/kv/kv.go
+++ b/pkg/kv/kv.go
@@ -72,8 +72,8 @@
 	Deleted bool
 }
 
-// Snapshot holds all records below a prefix at one revision of the service. A watch from the next
-// revision on misses no change.
+// Snapshot holds all records below a prefix, and the service's revision that they reflect. A watch from
+// the next revision on misses no change.
 type Snapshot struct {
 	Records  []Record
 	Revision int64
