--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -2,7 +2,8 @@
 //
 // It defines flags, environment variables, exit codes and what commands print. Each command checks its
 // settings and then calls one package: internal/box for `serve` (the native mode), platform for `node`
-// (the users' platform), internal/dev for `dev`. Most of the others call the operators' service of a box.
+// (the users' platform), internal/dev for `dev`. `report burn` and the `bundle` commands except `check` call
+// the operators' service of a box.
 package cmd
 
 import (
