--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -10,22 +10,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls that one process makes. `ospreymoor serve` sets it from --kv-reads and
+// Budget limits the rate of calls that one process makes. `ospreymoor serve` sets it from --kv-reads and
 // --kv-writes; `ospreymoor node` has none and saves calls by pausing its mirror.
 type Budget struct {
-	// ReadsPerSecond and WritesPerSecond are this process's share of the service's rates. Watches
-	// count as one read each; grants, renewals and revocations as writes.
+	// ReadsPerSecond and WritesPerSecond are this process's share of the service's call rates. A watch
+	// counts as one read; grants, renewals and revocations count as writes.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// Set has the counters of calls; nil takes the default set.
+	// Set holds the counters of calls; nil means the default set.
 	Set *metrics.Set
 }
 
-// burstSeconds is how many seconds of its share a process may use at once.
+// burstSeconds is how many seconds of its call rate a process may use at once.
 const burstSeconds = 5
 
-// WithBudget returns store with each call counted and held to the budget. A call waits for its turn;
-// one that would wait past its deadline fails at once with ErrBudget and is not made.
+// WithBudget returns store with each call counted and rate-limited to the budget. A call waits until the
+// budget allows it. One that would wait past its deadline fails at once with ErrBudget and is not made.
 func WithBudget(store Store, budget Budget) Store {
 	b := newBudgeted(store, budget)
 	return Store{
