--- a/internal/cmd/dev_platform.go
+++ b/internal/cmd/dev_platform.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		path, err := fleet.Settings(folder, box, nil)
+		path, err := fleet.WriteSettings(folder, box, nil)
 		if err != nil {
 			return err
 		}
