--- a/internal/storeview/upstreams.go
+++ b/internal/storeview/upstreams.go
@@ -106,6 +106,6 @@
 		zap.String("backend", change.Upstream.ID),
 		zap.String("service", change.Upstream.Service),
 		zap.String("address", change.Upstream.Address),
-		zap.Duration("notice", change.Upstream.Notice),
+		zap.Duration("notice", change.Upstream.EndsAfter),
 		zap.Int64("revision", revision))
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -30,7 +30,7 @@
 
 	It("returns which upstreams joined, are leaving and were removed, and ignores older lists", func() {
 		leaving := engine("e1", 11, "m1", "m2")
-		leaving.Leaving, leaving.Notice = true, 2*time.Second
+		leaving.Leaving, leaving.EndsAfter = true, 2*time.Second
 		changes := d.SetList(12, []fleet.Upstream{leaving, engine("e3", 12)}, time.Time{})
 		kinds := map[string]fleet.ChangeKind{}
 		for _, change := range changes {
--- a/pkg/fleet/upstream.go
+++ b/pkg/fleet/upstream.go
@@ -15,9 +15,9 @@
 	Slots int
 	// Leaving means that the process is about to end; nothing new is sent to it.
 	Leaving bool
-	// Notice is the time from the write of a leaving upstream's entry to the end of its process; 0 if
+	// EndsAfter is the time from the write of a leaving upstream's entry to the end of its process; 0 if
 	// it gave none.
-	Notice time.Duration
+	EndsAfter time.Duration
 	// Cold is how long an engine stays cold after its entry was written; 0 if it is not cold.
 	Cold time.Duration
 	// Models are the models that the engine holds, with their adapters.
