--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Progress bounds how long a call may go on without receiving data. A long answer can still arrive over a slow
+// Timeouts bounds how long a call may go on without receiving data. A long answer can still arrive over a slow
 // link, and a call to a server that sends nothing fails early.
-type Progress struct {
+type Timeouts struct {
 	// First is the longest time until the answer begins, and Idle the longest pause within it.
 	First, Idle time.Duration
 	// Whole is the longest time until the answer ends.
@@ -17,7 +17,7 @@
 }
 
 // Call does what Sender.Call does, within these bounds. A call that exceeds one fails with the context's error.
-func (p Progress) Call(send Sender, request *http.Request, maxBytes int64) (status int, body []byte, err error) {
+func (p Timeouts) Call(send Sender, request *http.Request, maxBytes int64) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(request.Context(), p.Whole)
 	defer cancel()
 	stalled := time.AfterFunc(p.First, cancel)
--- a/internal/transport/progress_test.go
+++ b/internal/transport/progress_test.go
@@ -27,7 +27,7 @@
 	call := func(server *httptest.Server, whole time.Duration) (string, time.Duration, error) {
 		defer server.Close()
 		begun := time.Now()
-		progress := transport.Progress{First: idle, Idle: idle, Whole: whole}
+		progress := transport.Timeouts{First: idle, Idle: idle, Whole: whole}
 		_, body, err := progress.Call(transport.New().RoundTrip, post(strings.TrimPrefix(server.URL, "http://")), 1<<20)
 		return string(body), time.Since(begun), err
 	}
