--- a/internal/box/store_follower.go
+++ b/internal/box/store_follower.go
@@ -62,7 +62,7 @@
 func (s *storeFollower) watch(ctx context.Context, from int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	events, err := s.store.Watch(ctx, kv.Watching{Prefix: storePrefix, From: from})
+	events, err := s.store.Watch(ctx, kv.WatchOptions{Prefix: storePrefix, From: from})
 	if err != nil {
 		return
 	}
--- a/internal/node/crash_cuts_test.go
+++ b/internal/node/crash_cuts_test.go
@@ -89,7 +89,7 @@
 		}
 		return c.store.Grant(ctx, ttl)
 	}
-	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 		if err := storeError(); err != nil {
 			return nil, err
 		}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -48,7 +48,7 @@
 	network := &spectest.Network{}
 	memory := kv.NewMemory().Store()
 	store := memory
-	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 		f.watching.Add(1)
 		return pollingWatch(ctx, memory, watching)
 	}
@@ -74,7 +74,7 @@
 }
 
 // pollingWatch returns a watch that, like the platform's, also answers a poll without changes, with an empty batch.
-func pollingWatch(ctx context.Context, store kv.Store, watching kv.Watching) (<-chan []kv.Event, error) {
+func pollingWatch(ctx context.Context, store kv.Store, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 	changes, err := store.Watch(ctx, watching)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 
 // linkedWatch returns a pollingWatch over a link: each batch arrives once deliver has returned, and the watch ends if
 // that fails.
-func linkedWatch(ctx context.Context, store kv.Store, watching kv.Watching, deliver func([]kv.Event) error) (<-chan []kv.Event, error) {
+func linkedWatch(ctx context.Context, store kv.Store, watching kv.WatchOptions, deliver func([]kv.Event) error) (<-chan []kv.Event, error) {
 	batches, err := pollingWatch(ctx, store, watching)
 	if err != nil {
 		return nil, err
--- a/internal/node/small_boxes_test.go
+++ b/internal/node/small_boxes_test.go
@@ -215,7 +215,7 @@
 		}
 		return snapshot, receive(ctx, bytes)
 	}
-	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
 			bytes := 0
 			for _, event := range batch {
--- a/internal/node/start_size_test.go
+++ b/internal/node/start_size_test.go
@@ -49,7 +49,7 @@
 // store returns the store for one box. It adds to watched the records that the box's watches deliver.
 func (s *pagedStore) store(watched *atomic.Int64) kv.Store {
 	store := s.memory
-	store.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
 			s.watched.Add(int64(len(batch)))
 			watched.Add(int64(len(batch)))
--- a/internal/node/store_calls_test.go
+++ b/internal/node/store_calls_test.go
@@ -41,7 +41,7 @@
 		c.revokes.Add(1)
 		return store.Revoke(ctx, id)
 	}
-	counted.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+	counted.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 		next := watching.Next
 		watching.Next = func(ctx context.Context) (time.Duration, bool) {
 			wait, ok := next(ctx)
--- a/internal/standin/etcd.go
+++ b/internal/standin/etcd.go
@@ -86,7 +86,7 @@
 	p.mu.Lock()
 	watchEnd := p.watchEnd
 	p.mu.Unlock()
-	events, err := p.Memory.Store().Watch(r.Context(), kv.Watching{Prefix: string(request.Create.Key), From: request.Create.StartRevision})
+	events, err := p.Memory.Store().Watch(r.Context(), kv.WatchOptions{Prefix: string(request.Create.Key), From: request.Create.StartRevision})
 	if err != nil {
 		http.Error(w, errors.Details(err), http.StatusInternalServerError)
 		return
--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -129,7 +129,7 @@
 	return b.store.Revoke(ctx, id)
 }
 
-func (b *budgeted) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
+func (b *budgeted) watch(ctx context.Context, watching WatchOptions) (<-chan []Event, error) {
 	if err := b.take(ctx, b.reads, "watch"); err != nil {
 		return nil, err
 	}
--- a/pkg/kv/etcd_watch.go
+++ b/pkg/kv/etcd_watch.go
@@ -11,7 +11,7 @@
 )
 
 // watch opens a stream. It has no timeout: the service sends nothing while nothing changes.
-func (e *etcd) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
+func (e *etcd) watch(ctx context.Context, watching WatchOptions) (<-chan []Event, error) {
 	prefix := watching.Prefix
 	create := WatchCreate{Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: watching.From}
 	response, err := e.post(ctx, PathWatch, WatchRequest{Create: create})
--- a/pkg/kv/kv.go
+++ b/pkg/kv/kv.go
@@ -79,8 +79,8 @@
 	Revision int64
 }
 
-// Watching defines what to watch.
-type Watching struct {
+// WatchOptions defines what to watch.
+type WatchOptions struct {
 	// Prefix is that of the keys to watch; "" means all keys.
 	Prefix string
 	// From is the first revision to send; 0 sends the changes from now on.
@@ -97,7 +97,7 @@
 
 // NextPoll blocks until the watcher wants the next poll, and returns how long the service may delay its answer; false
 // ends the watch.
-func (w Watching) NextPoll(ctx context.Context) (wait time.Duration, ok bool) {
+func (w WatchOptions) NextPoll(ctx context.Context) (wait time.Duration, ok bool) {
 	if w.Next == nil {
 		return defaultPollWait, true
 	}
@@ -134,5 +134,5 @@
 	// closes the channel when ctx ends or the service ends the watch; the caller then reads a snapshot
 	// and starts a new watch. The service is asked for more only after the caller has received a batch.
 	// An empty batch means that the service answered and nothing has changed.
-	Watch func(ctx context.Context, watching Watching) (<-chan []Event, error)
+	Watch func(ctx context.Context, watching WatchOptions) (<-chan []Event, error)
 }
--- a/pkg/kv/memory.go
+++ b/pkg/kv/memory.go
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (m *Memory) watch(ctx context.Context, watching Watching) (<-chan []Event, error) {
+func (m *Memory) watch(ctx context.Context, watching WatchOptions) (<-chan []Event, error) {
 	events := make(chan []Event)
 	m.mu.Lock()
 	next := len(m.history)
--- a/pkg/kv/observed.go
+++ b/pkg/kv/observed.go
@@ -35,7 +35,7 @@
 		Revoke: func(ctx context.Context, id LeaseID) error {
 			return reportError(store.Revoke(ctx, id))
 		},
-		Watch: func(ctx context.Context, watching Watching) (<-chan []Event, error) {
+		Watch: func(ctx context.Context, watching WatchOptions) (<-chan []Event, error) {
 			return reporting[<-chan []Event](report)(store.Watch(ctx, watching))
 		},
 	}
--- a/pkg/mirror/follow.go
+++ b/pkg/mirror/follow.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	nextPoll := make(chan struct{}, 1)
-	batches, err := m.Store.Watch(ctx, kv.Watching{From: from + 1, Next: m.pollAfter(nextPoll)})
+	batches, err := m.Store.Watch(ctx, kv.WatchOptions{From: from + 1, Next: m.pollAfter(nextPoll)})
 	if err != nil {
 		m.noteConnectivity(err)
 		return false
@@ -154,7 +154,7 @@
 	return awaiting && m.MayAwaitCopy != nil && m.MayAwaitCopy()
 }
 
-// pollAfter returns a kv.Watching.Next that lets the watch poll again only after a value arrives on nextPoll. A poll
+// pollAfter returns a kv.WatchOptions.Next that lets the watch poll again only after a value arrives on nextPoll. A poll
 // that is under way while changes are gathered is answered with the first change alone, and is wasted if the mirror
 // pauses.
 func (m *Mirror) pollAfter(nextPoll <-chan struct{}) func(context.Context) (time.Duration, bool) {
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -145,7 +145,7 @@
 				calls.Add(1)
 				return store.Snapshot(ctx, prefix)
 			}
-			counted.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+			counted.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 				calls.Add(1)
 				return store.Watch(ctx, watching)
 			}
@@ -220,7 +220,7 @@
 					}
 					return store.Snapshot(ctx, prefix)
 				}
-				unreliable.Watch = func(ctx context.Context, watching kv.Watching) (<-chan []kv.Event, error) {
+				unreliable.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
 					span := time.Duration(faults.IntN(300)) * time.Millisecond
 					ctx, cancel := context.WithTimeout(ctx, span)
 					time.AfterFunc(span, cancel)
