--- a/pkg/kv/document_test.go
+++ b/pkg/kv/document_test.go
@@ -47,13 +47,13 @@
 }
 
 // randomFaults returns a function that chooses faults at random, the same ones for the same seed.
-func randomFaults(seed uint64) func(string) kvtest.Fate {
+func randomFaults(seed uint64) func(string) kvtest.Fault {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
-	return func(string) kvtest.Fate {
+	return func(string) kvtest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		fault := kvtest.Fate{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
+		fault := kvtest.Fault{Delay: time.Duration(random.IntN(30)) * time.Millisecond}
 		switch random.IntN(10) {
 		case 0:
 			fault.Refused = true
--- a/pkg/kv/kvtest/kvtest.go
+++ b/pkg/kv/kvtest/kvtest.go
@@ -11,8 +11,8 @@
 	"ospreymoor.example/ospreymoor/pkg/kv"
 )
 
-// Fate describes the fault injected into one call; the zero value injects none.
-type Fate struct {
+// Fault describes the fault injected into one call; the zero value injects none.
+type Fault struct {
 	// Delay is the time before the call is processed.
 	Delay time.Duration
 	// Refused: the call is not executed, and its error says so.
@@ -27,7 +27,7 @@
 
 // Faulty returns store with the faults that choose returns injected into its reads, swaps and renewals.
 // choose gets "get", "list", "swap" or "renew".
-func Faulty(store kv.Store, choose func(call string) Fate) kv.Store {
+func Faulty(store kv.Store, choose func(call string) Fault) kv.Store {
 	faulty := store
 	faulty.Get = func(ctx context.Context, key string) (kv.Record, error) {
 		if err := readFault(ctx, choose("get")); err != nil {
@@ -60,7 +60,7 @@
 
 // readFault returns the error of a read with this fault, or nil if the caller is to make the read. A read
 // changes nothing, so each fault but a delay fails it with ErrUnavailable.
-func readFault(ctx context.Context, fault Fate) error {
+func readFault(ctx context.Context, fault Fault) error {
 	if !wait(ctx, fault.Delay) || fault.Refused || fault.Lost || fault.AnswerLost || fault.Late > 0 {
 		return errors.Annotate(kv.ErrUnavailable, "read failed")
 	}
@@ -69,7 +69,7 @@
 
 // changeFault returns the error of a change with this fault, or nil if the caller is to make the call. It
 // makes the call itself if only the answer is lost or the call is executed late.
-func changeFault(ctx context.Context, fault Fate, call func(context.Context)) error {
+func changeFault(ctx context.Context, fault Fault, call func(context.Context)) error {
 	if !wait(ctx, fault.Delay) || fault.Lost {
 		return errors.Annotate(kv.ErrUnknown, "call lost")
 	}
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -76,16 +76,16 @@
 	random := rand.New(rand.NewPCG(seed, uint64(contender)))
 	var mu sync.Mutex
 	var cutUntil time.Time
-	choose := func(string) kvtest.Fate {
+	choose := func(string) kvtest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if time.Now().After(cutUntil) && random.IntN(25) == 0 {
 			cutUntil = time.Now().Add(time.Duration(random.IntN(15000)) * time.Millisecond)
 		}
 		if time.Now().Before(cutUntil) {
-			return kvtest.Fate{Lost: true, Delay: 500 * time.Millisecond}
+			return kvtest.Fault{Lost: true, Delay: 500 * time.Millisecond}
 		}
-		return kvtest.Fate{
+		return kvtest.Fault{
 			Delay:      time.Duration(random.IntN(200)) * time.Millisecond,
 			AnswerLost: random.IntN(10) == 0,
 		}
