--- a/internal/box/engine_runs.go
+++ b/internal/box/engine_runs.go
@@ -60,7 +60,7 @@
 // has begun; a 'not started' then concerns only the resumption, which is tried again too.
 func (e *engineRuns) resume(ctx context.Context, client *engine.Client, d *delivery, err error) error {
 	for range maxResumes {
-		broken := errors.Is(err, engine.ErrBrokenOff) || errors.Is(err, engine.ErrForeign) ||
+		broken := errors.Is(err, engine.ErrBrokenOff) || errors.Is(err, engine.ErrUnexpectedMessage) ||
 			(d.nextIndex > 0 && notStarted(err))
 		if err == nil || !broken || ctx.Err() != nil || d.sendErr != nil {
 			return err
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,8 +29,8 @@
 	ErrNoRun = errors.ConstError("engine knows no such request: cancel its id before it is sent elsewhere")
 	// ErrBrokenOff: the answer ended before it was complete. The run may still be going on.
 	ErrBrokenOff = errors.ConstError("answer broke off: resume it")
-	// ErrForeign: a message belongs to another request, or is not the next piece. It was dropped.
-	ErrForeign = errors.ConstError("engine sent what is not this request's: resume it")
+	// ErrUnexpectedMessage: a message belongs to another request, or is not the next piece. It was dropped.
+	ErrUnexpectedMessage = errors.ConstError("engine sent what is not this request's: resume it")
 )
 
 // ReasonLeaving is the message of the error by which a draining engine refuses a request.
--- a/internal/engine/runs.go
+++ b/internal/engine/runs.go
@@ -65,7 +65,7 @@
 	for stream.Receive() {
 		message := stream.Msg()
 		if message.GetRequestId() != id || message.GetIndex() != next {
-			return errors.Annotatef(ErrForeign, "request %s piece %d, expected %s piece %d", message.GetRequestId(), message.GetIndex(), id, next)
+			return errors.Annotatef(ErrUnexpectedMessage, "request %s piece %d, expected %s piece %d", message.GetRequestId(), message.GetIndex(), id, next)
 		}
 		if message.GetLast() {
 			return nil
