--- a/internal/box/leaving_test.go
+++ b/internal/box/leaving_test.go
@@ -39,9 +39,9 @@
 			time.Sleep(5 * time.Second)
 			t.engines["h1-e1"].Leave()
 			time.Sleep(3 * time.Second)
-			before := t.engines["h1-e1"].Record().StartedLeaving
+			before := t.engines["h1-e1"].Record().RefusedLeaving
 			probing.Wait()
-			late = t.engines["h1-e1"].Record().StartedLeaving - before
+			late = t.engines["h1-e1"].Record().RefusedLeaving - before
 		})
 		return late
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -62,8 +62,8 @@
 	Overcommitted int `json:"overcommitted"`
 	// Loads counts the loads that were started.
 	Loads int `json:"loads"`
-	// StartedLeaving counts the requests that were refused because the engine was draining.
-	StartedLeaving int `json:"startedLeaving"`
+	// RefusedLeaving counts the requests that were refused because the engine was draining.
+	RefusedLeaving int `json:"startedLeaving"`
 }
 
 // compressMinBytes is the smallest message that is compressed, in bytes.
--- a/internal/standin/engine_runs.go
+++ b/internal/standin/engine_runs.go
@@ -78,7 +78,7 @@
 	id := request.GetRequestId()
 	switch {
 	case e.leaving:
-		e.record.StartedLeaving++
+		e.record.RefusedLeaving++
 		return nil, connect.NewError(connect.CodeUnavailable, errLeaving)
 	case e.runs[id] != nil || e.cancelled[id]:
 		return nil, connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("request %s is known or cancelled", id))
