--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -92,7 +92,7 @@
 	if f.notice != nil {
 		notice := f.notice(to.ID, nth)
 		to.Told(notice)
-		if notice.Rest > 0 {
+		if notice.Backoff > 0 {
 			return notExecutedAnswer(), nil
 		}
 	}
--- a/internal/gateway/notice_test.go
+++ b/internal/gateway/notice_test.go
@@ -87,7 +87,7 @@
 		spectest.Bubble(func() {
 			for _, backingOff := range []string{"p1", "e2"} {
 				f := newFixture(func(string, int) behavior { return succeeds }, 1)
-				f.upstreams.notice = noticeFrom(backingOff, fleet.Notice{Rest: backoff})
+				f.upstreams.notice = noticeFrom(backingOff, fleet.Notice{Backoff: backoff})
 				attempts := 0
 				f.upstreams.choose = func(string, int) behavior {
 					attempts++
@@ -105,7 +105,7 @@
 	It("are refused at once if all suitable upstreams are in backoff, with the time until the first of them may get requests", func() {
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
-			f.upstreams.notice = func(string, int) fleet.Notice { return fleet.Notice{Rest: backoff} }
+			f.upstreams.notice = func(string, int) fleet.Notice { return fleet.Notice{Backoff: backoff} }
 			f.ask(context.Background(), "first", "/safe/x", "")
 			sent := len(f.upstreams.sentTo)
 			Expect(sent).To(Equal(4))
@@ -127,7 +127,7 @@
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			f.upstreams.notice = func(_ string, n int) fleet.Notice {
 				if n == 1 {
-					return fleet.Notice{Rest: 100 * time.Millisecond}
+					return fleet.Notice{Backoff: 100 * time.Millisecond}
 				}
 				return fleet.Notice{}
 			}
@@ -145,14 +145,14 @@
 			with := fleet.Upstream{ID: "with", Service: "engines", Models: []fleet.Holding{{Model: "m", Adapters: []string{"a"}}}, Revision: 2}
 			without := fleet.Upstream{ID: "without", Service: "engines", Models: []fleet.Holding{{Model: "m"}}, Revision: 2}
 			f.Directory.SetList(2, []fleet.Upstream{with, without}, time.Now())
-			f.upstreams.notice = noticeFrom("with", fleet.Notice{Rest: backoff})
+			f.upstreams.notice = noticeFrom("with", fleet.Notice{Backoff: backoff})
 			var avoided []string
 			f.Ensure = func(_ context.Context, want residency.Want) (residency.EnsureResult, error) {
 				avoided = want.Avoid
 				return residency.EnsureResult{Upstream: "without", Residency: fleet.Residency{Adapters: map[string][]string{"m": {"a"}}, Sequence: 1}, Term: 1}, nil
 			}
 			f.ask(context.Background(), "r0", "/stream/x", "m")
-			f.Directory.RecordNotice("with", fleet.Notice{Rest: backoff})
+			f.Directory.RecordNotice("with", fleet.Notice{Backoff: backoff})
 			ask := &Request{ID: "r1", Arrived: time.Now(), Deadline: time.Now().Add(time.Second), Path: "/stream/x", Host: "h", Header: http.Header{}, Model: "m", Adapter: "a"}
 			c := &caller{ResponseRecorder: httptest.NewRecorder()}
 			Expect(f.Serve(context.Background(), c, ask)).To(Succeed())
@@ -168,7 +168,7 @@
 			f.Reserve = func(_ context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error) {
 				if chosen == "" {
 					chosen = asked.Engine
-					f.Directory.RecordNotice(chosen, fleet.Notice{Rest: backoff})
+					f.Directory.RecordNotice(chosen, fleet.Notice{Backoff: backoff})
 				}
 				return dispatch.ReservationAnswer{Taken: true}, nil
 			}
@@ -190,7 +190,7 @@
 			f.Log = zap.New(core)
 			var noted []fleet.NoticeEvent
 			f.Directory.OnNotice = func(n fleet.NoticeEvent) { noted = append(noted, n) }
-			f.Directory.RecordNotice("p0", fleet.Notice{Leaving: true, Rest: backoff})
+			f.Directory.RecordNotice("p0", fleet.Notice{Leaving: true, Backoff: backoff})
 			Expect(noted).To(HaveLen(1))
 			Expect(noted[0].Kinds()).To(Equal([]string{"leaving", "rest"}))
 			time.Sleep(time.Second)
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -99,7 +99,7 @@
 		config.Log.Info("upstream notice",
 			zap.String("backend", noted.Upstream),
 			zap.Strings("kinds", noted.Kinds()),
-			zap.Duration("rest", noted.Rest),
+			zap.Duration("rest", noted.Backoff),
 			zap.Float64p("limit", noted.Limit),
 			zap.String("unreadable", noted.Unreadable),
 			zap.String("source", string(noted.Source)),
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -179,7 +179,7 @@
 		directory.OnNotice = func(noted fleet.NoticeEvent) {
 			for _, other := range n.nodes {
 				if noted.Source != fleet.SourceBox && other != nil && other != box {
-					other.Gateway.Directory.RecordNotice(noted.Upstream, fleet.Notice{Rest: noted.Rest, Source: fleet.SourceBox})
+					other.Gateway.Directory.RecordNotice(noted.Upstream, fleet.Notice{Backoff: noted.Backoff, Source: fleet.SourceBox})
 				}
 			}
 		}
@@ -261,7 +261,7 @@
 	if full || now.Before(engine.rejectUntil) && rand.Float64() < engine.rejectShare {
 		n.rejected++
 		engine.backoffAskedAt[box] = now
-		notice.Rest = n.backoff
+		notice.Backoff = n.backoff
 		return engine, true, notice
 	}
 	engine.running++
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -21,9 +21,9 @@
 type Notice struct {
 	// Leaving means that the process ends soon.
 	Leaving bool
-	// Rest is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
+	// Backoff is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
 	// asked for none.
-	Rest time.Duration
+	Backoff time.Duration
 	// Cold is how long the upstream stays cold; 0 if it did not say so.
 	Cold time.Duration
 	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
@@ -71,7 +71,7 @@
 	if n.Leaving {
 		kinds = append(kinds, "leaving")
 	}
-	if n.Rest > 0 {
+	if n.Backoff > 0 {
 		kinds = append(kinds, "rest")
 	}
 	if n.Cold > 0 {
@@ -90,7 +90,7 @@
 }
 
 func (n Notice) empty() bool {
-	return !n.Leaving && n.Rest <= 0 && n.Cold <= 0 && n.Limit == nil && !n.Unlimited && n.Unreadable == ""
+	return !n.Leaving && n.Backoff <= 0 && n.Cold <= 0 && n.Limit == nil && !n.Unlimited && n.Unreadable == ""
 }
 
 // noticeState is what the answers of one incarnation of an upstream stated.
@@ -145,7 +145,7 @@
 // Told applies what an answer states. It is called as soon as the head of the answer has arrived,
 // whatever happens to the rest of the answer.
 func (e *Endpoint) Told(n Notice) {
-	e.answered, e.backoffAsked = true, n.Rest > 0
+	e.answered, e.backoffAsked = true, n.Backoff > 0
 	n.requestStart = e.startedAt
 	n.Unlimited = n.Unlimited && e.directory.Limit(e.ID).Named()
 	if !n.empty() {
@@ -192,14 +192,14 @@
 	if news.Leaving {
 		known.leavingAt = now
 	}
-	if n.Rest > 0 {
-		known.backoff = d.BackoffPolicy.start(now, n.Rest)
+	if n.Backoff > 0 {
+		known.backoff = d.BackoffPolicy.start(now, n.Backoff)
 	}
 	news.Limit, news.Unlimited = known.updateLimit(now, n)
 	if news.Limit != nil || news.Unlimited {
 		d.recordLimitChange(id)
 	}
-	if !news.Leaving && n.Rest <= 0 && n.Limit == nil && !news.Unlimited {
+	if !news.Leaving && n.Backoff <= 0 && n.Limit == nil && !news.Unlimited {
 		return news
 	}
 	d.notices[id] = known
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -49,7 +49,7 @@
 			d := listed(entry("a", 1))
 			var kinds [][]string
 			d.OnNotice = func(n NoticeEvent) { kinds = append(kinds, n.Kinds()) }
-			for _, n := range []Notice{{Leaving: true, Rest: time.Second}, {Leaving: true, Rest: time.Second}, {Leaving: true}, {}} {
+			for _, n := range []Notice{{Leaving: true, Backoff: time.Second}, {Leaving: true, Backoff: time.Second}, {Leaving: true}, {}} {
 				d.RecordNotice("a", n)
 			}
 			Expect(kinds).To(Equal([][]string{{"leaving", "rest"}, {"rest"}}))
@@ -81,10 +81,10 @@
 			d := listed(entry(first, 1))
 			former, err := d.Begin(d.Get(first).Upstream)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(send(d, first, Notice{Rest: time.Minute})).To(Succeed())
+			Expect(send(d, first, Notice{Backoff: time.Minute})).To(Succeed())
 			d.SetList(2, []Upstream{entry(next, 2)}, time.Now())
 			Expect(send(d, next, Notice{})).To(Succeed())
-			former.Told(Notice{Leaving: true, Rest: time.Minute})
+			former.Told(Notice{Leaving: true, Backoff: time.Minute})
 			former.End()
 			Expect(d.Get(next).Leaving).To(BeFalse())
 			Expect(send(d, next, Notice{})).To(Succeed())
@@ -115,7 +115,7 @@
 	It("keeps requests away for the backoff that it asks for, from the answer on", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
-			Expect(send(d, "a", Notice{Rest: 3 * time.Second})).To(Succeed())
+			Expect(send(d, "a", Notice{Backoff: 3 * time.Second})).To(Succeed())
 			time.Sleep(3*time.Second - time.Nanosecond)
 			Expect(send(d, "a", Notice{})).To(MatchError(ErrBackoff))
 			time.Sleep(time.Nanosecond)
@@ -126,7 +126,7 @@
 	DescribeTable("bounds a backoff that is far too long", func(asked time.Duration) {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
-			Expect(send(d, "a", Notice{Rest: asked})).To(Succeed())
+			Expect(send(d, "a", Notice{Backoff: asked})).To(Succeed())
 			until, _ := d.InBackoff("a")
 			Expect(time.Until(until)).To(BeNumerically("<=", d.BackoffPolicy.Max))
 			time.Sleep(d.BackoffPolicy.Max)
@@ -140,7 +140,7 @@
 	It("gets few requests at a time after a backoff, twice as many with each answer, and none once it asks for another", func() {
 		spectest.Bubble(func() {
 			d := listed(entry("a", 1))
-			Expect(send(d, "a", Notice{Rest: time.Second})).To(Succeed())
+			Expect(send(d, "a", Notice{Backoff: time.Second})).To(Succeed())
 			time.Sleep(time.Second)
 			begun := func() (list []*Endpoint) {
 				for {
@@ -164,7 +164,7 @@
 			}
 			list := begun()
 			Expect(len(list)).To(BeNumerically(">", 8))
-			end(list[:1], Notice{Rest: time.Second})
+			end(list[:1], Notice{Backoff: time.Second})
 			Expect(begun()).To(BeEmpty())
 			end(list[1:], Notice{}) // Answers to concurrent requests do not end the new backoff.
 			time.Sleep(time.Second)
--- a/pkg/residency/notice_test.go
+++ b/pkg/residency/notice_test.go
@@ -45,7 +45,7 @@
 			t := newTestFleet(1, 0)
 			called := calls(t)
 			const backoff = 5 * time.Second
-			t.controller.Directory.RecordNotice("e0", fleet.Notice{Rest: backoff})
+			t.controller.Directory.RecordNotice("e0", fleet.Notice{Backoff: backoff})
 			t.run(12*time.Second, "m0", "m1", "m2", "m3")
 			Expect(called("e1")).NotTo(BeEmpty())
 			Expect(called("e1")[0]).To(BeNumerically("<", backoff))
