--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -91,7 +91,7 @@
 	f.mu.Unlock()
 	if f.notice != nil {
 		notice := f.notice(to.ID, nth)
-		to.Told(notice)
+		to.HandleNotice(notice)
 		if notice.Backoff > 0 {
 			return notExecutedAnswer(), nil
 		}
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -210,7 +210,7 @@
 		notice = fleet.Notice{}
 	}
 	notice.Source = fleet.SourceRequest
-	to.Told(notice)
+	to.HandleNotice(notice)
 	if turnedAway {
 		return &gateway.Answer{
 			Status: http.StatusServiceUnavailable, Header: http.Header{}, NotExecuted: true, Body: io.NopCloser(strings.NewReader("")),
--- a/pkg/fleet/limit_test.go
+++ b/pkg/fleet/limit_test.go
@@ -21,7 +21,7 @@
 		to, err := d.Begin(d.Get("a").Upstream)
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(took)
-		to.Told(Notice{Limit: named, Unlimited: named == nil})
+		to.HandleNotice(Notice{Limit: named, Unlimited: named == nil})
 		to.End()
 	}
 
@@ -35,7 +35,7 @@
 			time.Sleep(time.Second)
 			answered(d, time.Millisecond, limit(2))
 			answered(d, time.Millisecond, limit(2))
-			slow.Told(Notice{Unlimited: true})
+			slow.HandleNotice(Notice{Unlimited: true})
 			Expect(d.Limit("a").Named()).To(BeTrue(), "ended by the answer to an earlier request")
 			answered(d, time.Millisecond, limit(0.5))
 			Expect(d.Limit("a").PerSecond).To(Equal(0.5))
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -142,9 +142,9 @@
 	return endpoint, nil
 }
 
-// Told applies what an answer states. It is called as soon as the head of the answer has arrived,
+// HandleNotice applies what an answer states. It is called as soon as the head of the answer has arrived,
 // whatever happens to the rest of the answer.
-func (e *Endpoint) Told(n Notice) {
+func (e *Endpoint) HandleNotice(n Notice) {
 	e.answered, e.backoffAsked = true, n.Backoff > 0
 	n.requestStart = e.startedAt
 	n.Unlimited = n.Unlimited && e.directory.Limit(e.ID).Named()
--- a/pkg/fleet/notice_test.go
+++ b/pkg/fleet/notice_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			return err
 		}
-		to.Told(n)
+		to.HandleNotice(n)
 		to.End()
 		return nil
 	}
@@ -84,7 +84,7 @@
 			Expect(send(d, first, Notice{Backoff: time.Minute})).To(Succeed())
 			d.SetList(2, []Upstream{entry(next, 2)}, time.Now())
 			Expect(send(d, next, Notice{})).To(Succeed())
-			former.Told(Notice{Leaving: true, Backoff: time.Minute})
+			former.HandleNotice(Notice{Leaving: true, Backoff: time.Minute})
 			former.End()
 			Expect(d.Get(next).Leaving).To(BeFalse())
 			Expect(send(d, next, Notice{})).To(Succeed())
@@ -153,7 +153,7 @@
 			}
 			end := func(list []*Endpoint, n Notice) {
 				for _, to := range list {
-					to.Told(n)
+					to.HandleNotice(n)
 					to.End()
 				}
 			}
