--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -65,7 +65,7 @@
 // hasCrashed reports whether an upstream whose answer just broke off has crashed, and when its check began. It
 // returns false without a check if ctx has ended.
 func (g *Gateway) hasCrashed(ctx context.Context, upstream fleet.Upstream) (at time.Time, crashed bool) {
-	if g.Upstreams.Refuses == nil || ctx.Err() != nil {
+	if g.Upstreams.RefusesConnection == nil || ctx.Err() != nil {
 		return time.Time{}, false
 	}
 	check, isNew := g.crashChecks.begin(upstream.ID, time.Now())
@@ -85,7 +85,7 @@
 func (g *Gateway) runCrashCheck(ctx context.Context, upstream fleet.Upstream, check *crashCheck) {
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashCheckTimeout)
 	defer cancel()
-	check.crashed = g.Upstreams.Refuses(bounded, upstream)
+	check.crashed = g.Upstreams.RefusesConnection(bounded, upstream)
 	close(check.done)
 	if check.crashed {
 		g.Metrics.GetOrCreateCounter("ospreymoor_upstream_crashes_total").Inc()
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -166,7 +166,7 @@
 		Directory: fleet.New(),
 		Loads:     loads,
 		Chooser:   &dispatch.Chooser{Loads: loads},
-		Upstreams: Upstreams{Send: f.send, Refuses: f.refuses},
+		Upstreams: Upstreams{Send: f.send, RefusesConnection: f.refuses},
 		Ensure: func(context.Context, residency.Want) (residency.EnsureResult, error) {
 			return residency.EnsureResult{ReadyIn: 2 * time.Second}, residency.ErrNoCapacity
 		},
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -51,10 +51,10 @@
 	// Send makes one attempt and returns the head of the answer. The error is ErrNotSent, ErrBroken or that of
 	// ctx. When ctx ends, the upstream cancels its run.
 	Send func(ctx context.Context, to *fleet.Endpoint, attempt Attempt) (*Answer, error)
-	// Refuses reports whether the upstream's host refuses connections to it, which means that its process is gone.
-	// It returns false if the host does not answer before ctx ends. If Refuses is nil, no upstream counts as
+	// RefusesConnection reports whether the upstream's host refuses connections to it, which means that its process is gone.
+	// It returns false if the host does not answer before ctx ends. If RefusesConnection is nil, no upstream counts as
 	// crashed.
-	Refuses func(ctx context.Context, of fleet.Upstream) bool
+	RefusesConnection func(ctx context.Context, of fleet.Upstream) bool
 	// Forget closes the idle connections to an upstream that is gone.
 	Forget func(upstream string)
 	// Engines executes the orders of the order holder at engines.
--- a/internal/node/crash_fleet_test.go
+++ b/internal/node/crash_fleet_test.go
@@ -128,7 +128,7 @@
 	}
 	config.Retries = gateway.RetryLimits{Ratio: 0.2, Slack: 1000}
 	config.Upstreams = gateway.Upstreams{
-		Send: c.sendToUpstream, Refuses: c.refuses, Forget: func(string) {}, Engines: residency.Engines{},
+		Send: c.sendToUpstream, RefusesConnection: c.refuses, Forget: func(string) {}, Engines: residency.Engines{},
 	}
 	config.Quarantine = c.policy
 	if c.tune != nil {
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -151,7 +151,7 @@
 	config.Upstreams.Send = func(ctx context.Context, to *fleet.Endpoint, attempt gateway.Attempt) (*gateway.Answer, error) {
 		return n.sendToEngine(ctx, box, to, attempt)
 	}
-	config.Upstreams.Refuses = func(_ context.Context, of fleet.Upstream) bool { return false }
+	config.Upstreams.RefusesConnection = func(_ context.Context, of fleet.Upstream) bool { return false }
 	config.Upstreams.Engines = residency.Engines{
 		Report: func(context.Context, *fleet.Endpoint) (residency.Report, error) {
 			return residency.Report{Models: []fleet.Holding{{Model: "m"}}}, nil
