--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,7 +16,7 @@
 	ticket := r.beginLoad(choice)
 	attempt := Attempt{Request: r.request, LastEventID: lastEventID, Urgency: r.need.Urgency, Customer: r.customerName()}
 	if !r.deadlines.answer.IsZero() {
-		attempt.Left = time.Until(r.deadlines.answer)
+		attempt.TimeLeft = time.Until(r.deadlines.answer)
 	}
 	r.logSentAgainstNotice(choice)
 	begun := time.Now()
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -78,7 +78,7 @@
 	f.mu.Lock()
 	f.sends[id]++
 	n := f.sends[id]
-	f.timeLeft = append(f.timeLeft, attempt.Left)
+	f.timeLeft = append(f.timeLeft, attempt.TimeLeft)
 	f.sentTo = append(f.sentTo, to.ID)
 	f.customers = append(f.customers, attempt.Customer)
 	f.urgencies = append(f.urgencies, attempt.Urgency)
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -23,8 +23,8 @@
 // Attempt is a request as it is sent to one upstream once.
 type Attempt struct {
 	Request *Request
-	// Left is the time that the upstream may take; 0 sets no limit.
-	Left time.Duration
+	// TimeLeft is the time that the upstream may take; 0 sets no limit.
+	TimeLeft time.Duration
 	// LastEventID is the event after which the stream resumes; empty for a stream from its beginning.
 	LastEventID string
 	// Urgency ranks requests at an engine; 0 is the most urgent.
