--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -57,7 +57,7 @@
 	}
 	n.members = s.members
 	n.orderCtx, n.stopOrdering = context.WithCancel(context.Background())
-	n.client = peer.NewClient(config.PeerSecret, config.Dial, config.Set)
+	n.client = peer.NewClient(config.PeerSecret, config.Dial, config.Metrics)
 	n.orderLease = n.newOrderLease(config, s)
 	n.controller = n.newController(config, s)
 	ensurer := &cluster.Ensurer{Members: s.members, Client: n.client, Controller: n.controller}
@@ -70,13 +70,13 @@
 	n.Gateway = newGateway(config, s, ensurer, n.spender, reservations, rates)
 	n.view = n.newView(config, s)
 	n.exchange = n.newExchange(config, s)
-	config.Set.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.CallerMemory.Used()) })
-	config.Set.NewGauge("ospreymoor_evacuated_requests", func() float64 { return evacuatedRequests(s) })
+	config.Metrics.NewGauge("ospreymoor_held_bytes", func() float64 { return float64(n.Gateway.CallerMemory.Used()) })
+	config.Metrics.NewGauge("ospreymoor_evacuated_requests", func() float64 { return evacuatedRequests(s) })
 	n.holdRecorder = &storeview.HoldRecorder{
 		Platform: config.Platform, Quarantine: s.quarantine, Records: n.state, IsResponsible: s.members.IsKeeperOf, Log: config.Log,
 	}
 	n.registration = storeview.NewRegistration(config.Platform, self, config.Log)
-	n.server = peer.NewServer(config.PeerSecret, config.Set)
+	n.server = peer.NewServer(config.PeerSecret, config.Metrics)
 	n.server.OnAcceptError = func(err error) {
 		config.Log.Warn("connection of another box not accepted", logfield.Error(err))
 	}
@@ -94,7 +94,7 @@
 	directory := fleet.New()
 	directory.OnNotice = func(noted fleet.NoticeEvent) {
 		for _, kind := range noted.Kinds() {
-			config.Set.GetOrCreateCounter(fmt.Sprintf("ospreymoor_upstream_notices_total{kind=%q,source=%q}", kind, noted.Source)).Inc()
+			config.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_upstream_notices_total{kind=%q,source=%q}", kind, noted.Source)).Inc()
 		}
 		config.Log.Info("upstream notice",
 			zap.String("backend", noted.Upstream),
@@ -188,7 +188,7 @@
 		Retries: config.Retries,
 		Boxes:   s.members.Boxes,
 		Log:     config.Log,
-		Metrics: config.Set,
+		Metrics: config.Metrics,
 	})
 }
 
@@ -205,8 +205,8 @@
 			zap.Duration("for", verdict.RetryAfter),
 			zap.String("source", string(verdict.Source)))
 	}
-	config.Set.NewGauge(`ospreymoor_crash_requests{state="held"}`, func() float64 { return float64(register.Counts().Held) })
-	config.Set.NewGauge(`ospreymoor_crash_requests{state="suspected"}`, func() float64 { return float64(register.Counts().Suspected) })
+	config.Metrics.NewGauge(`ospreymoor_crash_requests{state="held"}`, func() float64 { return float64(register.Counts().Held) })
+	config.Metrics.NewGauge(`ospreymoor_crash_requests{state="suspected"}`, func() float64 { return float64(register.Counts().Suspected) })
 	return register
 }
 
@@ -224,7 +224,7 @@
 		},
 		// A box without seeds, or that is a seed itself, has no other box to ask for a first copy.
 		ReadsFullStore: len(config.Seeds) == 0 || slices.Contains(config.Seeds, config.PeerAddress),
-		Metrics:        config.Set,
+		Metrics:        config.Metrics,
 		Log:            config.Log,
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,9 +58,9 @@
 	// MoveCost is the least benefit that justifies a load, in squared engine time.
 	MoveCost float64
 	// Dial opens connections to other boxes.
-	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	Log  *zap.Logger
-	Set  *metrics.Set
+	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
+	Log     *zap.Logger
+	Metrics *metrics.Set
 }
 
 // Node is one box of the fleet.
