--- a/pkg/residency/controller.go
+++ b/pkg/residency/controller.go
@@ -19,7 +19,7 @@
 	// Table returns the configuration in force; nil if there is none yet.
 	Table   func() *routes.Table
 	Engines Engines
-	// Term returns the term under which orders may be given now, ErrNotHolder or ErrWaiting.
+	// Term returns the term under which orders may be sent now, or the error ErrNotHolder or ErrWaiting.
 	Term func() (int64, error)
 	// NotBefore returns the time before which an engine, given by its name, may not be sent orders, since
 	// those of the former lease holder may still arrive. If it is nil, orders may be sent at once.
--- a/pkg/residency/eviction.go
+++ b/pkg/residency/eviction.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// patientAbsenceCost and urgentAbsenceCost are the costs of evicting a model's last replica, in squared
-	// engine time: the next requests wait for its load, or are refused until it is done.
+	// patientAbsenceCost and urgentAbsenceCost are the costs of evicting an idle model's last replica, in
+	// squared engine time: the next requests wait for its load, or are refused until it is done.
 	patientAbsenceCost = 0.05
 	urgentAbsenceCost  = 1.0
 	// drainCost is the added cost of evicting a model that has running requests, since the move waits for
--- a/pkg/residency/modelrecord.go
+++ b/pkg/residency/modelrecord.go
@@ -52,8 +52,8 @@
 }
 
 // reconcile drops the corrections that the list now contains. An entry that is not newer than the
-// corrections does not confirm them: it may show an earlier state that looked the same before it changed
-// twice.
+// corrections does not confirm them: it may be older, and the list may still show a different state before it
+// shows the corrected one.
 func (r *modelRecord) reconcile(listed []fleet.Holding, revision int64) {
 	if revision <= r.revision {
 		return
--- a/pkg/residency/order.go
+++ b/pkg/residency/order.go
@@ -49,7 +49,7 @@
 	// Conflict: another order is under way, or the engine has taken a different number of orders than
 	// expected.
 	Conflict
-	// Refused: the engine knows a higher term.
+	// Refused: the engine has seen a higher term.
 	Refused
 	// Gone: another engine, or none, is at the address.
 	Gone
