--- a/pkg/placement/steps.go
+++ b/pkg/placement/steps.go
@@ -22,7 +22,7 @@
 }
 
 // switchServing makes new weights serve once they have as many confirmed replicas as the old ones, and at
-// least one.
+// least one. Weights of a model that has no old ones serve at once.
 func (b *builder) switchServing() {
 	for _, u := range b.sortedUnits(func(u *unit) bool { return u.wanted }) {
 		old := b.units[b.in.Last.Serving[u.Model]]
