--- a/pkg/routing/doc.go
+++ b/pkg/routing/doc.go
@@ -6,6 +6,6 @@
 // and measured, the index of cached prefixes and the retry budget; internal/box supplies the
 // candidates.
 //
-// `ospreymoor node` has pkg/dispatch instead, which predicts the time to the first token and knows no
+// `ospreymoor node` has pkg/dispatch instead, which predicts the time to the first token without
 // reports of engines, and a retry budget of its own in internal/gateway.
 package routing
--- a/pkg/routing/prefixes.go
+++ b/pkg/routing/prefixes.go
@@ -18,8 +18,8 @@
 // the whole prefix up to its end.
 //
 // The prefix cache of pkg/dispatch follows another rule: it is one model of each engine's memory, fed
-// by all boxes, with the parts and tokens that requests state. This index knows only text, and only
-// what this box sent.
+// by all boxes, with the parts and tokens that requests state. This index uses only the text of the
+// prompts that this box sent.
 type prefixIndex struct {
 	lastUpstream *lru.Cache[uint64, string]
 }
