--- a/pkg/customers/account.go
+++ b/pkg/customers/account.go
@@ -7,7 +7,7 @@
 	// is not known: the whole burst may have been spent a moment ago.
 	initialShare = 0.35
 	// overdraftShare is the fraction of the tolerance by which an account with less than the whole limit may be
-	// overdrawn. The boxes it does not reach are often down, and spend nothing.
+	// overdrawn. The other boxes, which do not reach it, are often down and spend nothing.
 	overdraftShare = 0.125
 	// usableShare is the fraction of what limit and tolerance allow that is granted to customers. The rest covers
 	// spending that boxes can't know of each other.
@@ -36,7 +36,7 @@
 	// level is the balance in units, as of at.
 	level float64
 	at    time.Time
-	// awaitingRetry is the cost of the requests that were told to retry later and are not due yet.
+	// awaitingRetry is the cost of the refused requests whose retry time is not reached yet.
 	awaitingRetry float64
 	// reserve is the fraction of the next request's cost that a small account must hold, 0 to 1.
 	reserve float64
@@ -61,7 +61,8 @@
 }
 
 // rate returns the units per second by which the account fills. It is the limit's rate, or more where the tolerance
-// leaves room for it: a customer is refused only as far as its limit can't be kept within the tolerance otherwise.
+// leaves room for it: requests are refused only where spending could otherwise exceed the limit and its
+// tolerance.
 func (a *account) rate(share float64, tolerance Tolerance) float64 {
 	if tolerance.Window <= 0 {
 		return share * a.limit.PerSecond
@@ -108,16 +109,16 @@
 	return cost > a.limit.PerSecond*tolerance.Window.Seconds()+a.burst(1)+tolerance.units(a.limit)
 }
 
-// wait returns the time until the account holds what is needed, after all requests that were told to retry before
-// this one. If all were told the same time, all would retry at once and most would be refused.
+// wait returns the time until the account holds what is needed, after all refused requests that retry before this
+// one. With the same retry time for all, all would retry at once and most would be refused.
 func (a *account) wait(needed, rate float64) time.Duration {
 	seconds := (a.awaitingRetry + needed - a.level) / max(minRate, rate)
 	return time.Duration(max(minWait.Seconds(), min(maxWait.Seconds(), seconds)) * float64(time.Second))
 }
 
 const (
-	// minWait and maxWait bound the time after which a caller is told to retry. Callers wait for a few seconds at
-	// most, and a longer time would be a guess.
+	// minWait and maxWait bound the retry time of a refused request. Callers wait for a few seconds at most, and a
+	// longer time would be a guess.
 	minWait = 50 * time.Millisecond
 	maxWait = 10 * time.Second
 )
--- a/pkg/customers/keeper.go
+++ b/pkg/customers/keeper.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// accountTTL is how long an account is kept without any ask. By then it has long refilled, and a new account costs
-// the customer no more than the rest of its burst.
+// accountTTL is how long an account is kept without a SpendRequest. By then it has long refilled, and a new account
+// costs the customer no more than the rest of its burst.
 const accountTTL = 10 * time.Minute
 
 // Keeper keeps the accounts of the customers that this box is asked for. It is safe for concurrent use.
@@ -28,14 +28,14 @@
 	scope    Scope
 }
 
-// NewSnapshotStore returns a keeper without accounts.
+// NewKeeper returns a keeper without accounts.
 func NewKeeper(tolerance Tolerance) *Keeper {
 	return &Keeper{Tolerance: tolerance, Random: rand.Float64, accounts: map[accountKey]*account{}}
 }
 
-// Spend executes an ask. share is the fraction of the limit that the account holds now: the boxes that it serves, of
-// all boxes. During a network partition the shares of the accounts on both sides add up to 1, so that both together
-// keep within the limit.
+// Spend executes a SpendRequest. share is the fraction of the limit that the account holds now: the boxes that it
+// serves, of all boxes. During a network partition the shares of the accounts on both sides add up to 1, so that both
+// together keep within the limit.
 func (k *Keeper) Spend(ask SpendRequest, share float64, now time.Time) Grant {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -51,7 +51,7 @@
 	return Grant{Waits: waits, Level: a.level, Share: share}
 }
 
-// account returns the account of an ask, which it creates if there is none. The caller holds the lock.
+// account returns the account of a SpendRequest, which it creates if there is none. The caller holds the lock.
 func (k *Keeper) account(ask SpendRequest, share float64, now time.Time) *account {
 	k.prune(now)
 	key := accountKey{customer: ask.Customer, scope: ask.Scope}
@@ -64,7 +64,7 @@
 	return a
 }
 
-// prune drops accounts without recent asks. The caller holds the lock.
+// prune drops accounts without a recent SpendRequest. The caller holds the lock.
 func (k *Keeper) prune(now time.Time) {
 	if now.Sub(k.prunedAt) < accountTTL {
 		return
--- a/pkg/customers/keeper_test.go
+++ b/pkg/customers/keeper_test.go
@@ -98,7 +98,7 @@
 		})
 	})
 
-	It("grants no more than the burst to an ask that returns units", func() {
+	It("grants no more than the burst to a request that returns units", func() {
 		spectest.Bubble(func() {
 			keeper := customers.NewKeeper(strict)
 			keeper.Spend(askFor(limit, 1), 1, time.Now())
@@ -112,7 +112,7 @@
 	})
 })
 
-// fakeKeeper answers asks after 5 ms, or not at all for the silent scopes.
+// fakeKeeper answers each SpendRequest after 5 ms, or not at all for the silent scopes.
 type fakeKeeper struct {
 	mu     sync.Mutex
 	asks   []customers.SpendRequest
--- a/pkg/customers/replay_test.go
+++ b/pkg/customers/replay_test.go
@@ -274,39 +274,39 @@
 	// maxRefused is the largest fraction that the keepers may falsely refuse: next to nothing while boxes are
 	// reachable, some where calls are lost or the keeper changes, and more at single isolated boxes, whose parts of
 	// the limit hold less than a request.
-	maxRefused := func(l scenario) float64 {
+	maxRefused := func(s scenario) float64 {
 		switch {
-		case l.isolatedBoxes > 0:
+		case s.isolatedBoxes > 0:
 			return 0.2
-		case l.lossRate > 0, l.keeperDown, l.keeperFrozen:
+		case s.lossRate > 0, s.keeperDown, s.keeperFrozen:
 			return 0.1
 		}
 		return 0.01
 	}
-	for _, way := range strategies {
-		It("is kept by "+way.name, func() {
+	for _, strategy := range strategies {
+		It("is kept by "+strategy.name, func() {
 			var missed []string
-			for _, size := range profiles {
-				for _, l := range scenarios {
+			for _, profile := range profiles {
+				for _, s := range scenarios {
 					var sum result
 					seeds := 1
-					if way.inUse {
+					if strategy.inUse {
 						seeds = 3
 					}
 					for seed := range uint64(seeds) {
 						spectest.Bubble(func() {
-							r := &simulation{scenario: l, boxes: 60, halls: 4, lossRandom: rand.New(rand.NewPCG(seed, 13)), customerProfile: size, begun: time.Now()}
-							if l.fewBoxes {
+							r := &simulation{scenario: s, boxes: 60, halls: 4, lossRandom: rand.New(rand.NewPCG(seed, 13)), customerProfile: profile, begun: time.Now()}
+							if s.fewBoxes {
 								r.boxes, r.halls = 3, 1
 							}
-							got := way.play(r, seed)
+							got := strategy.play(r, seed)
 							sum.worstSpending = max(sum.worstSpending, got.worstSpending)
 							sum.falselyRefused += got.falselyRefused / float64(seeds)
 						})
 					}
-					row := fmt.Sprintf("| %s | %s | %s | %.2f | %.1f |", size.name, l.name, way.name, sum.worstSpending, 100*sum.falselyRefused)
+					row := fmt.Sprintf("| %s | %s | %s | %.2f | %.1f |", profile.name, s.name, strategy.name, sum.worstSpending, 100*sum.falselyRefused)
 					GinkgoWriter.Println(row)
-					if way.inUse && (sum.worstSpending > 1 || sum.falselyRefused > maxRefused(l)) {
+					if strategy.inUse && (sum.worstSpending > 1 || sum.falselyRefused > maxRefused(s)) {
 						missed = append(missed, row)
 					}
 				}
--- a/pkg/customers/replay_ways_test.go
+++ b/pkg/customers/replay_ways_test.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
-		time.Sleep(time.Second) // Asks in flight end.
+		time.Sleep(time.Second) // Calls in flight end.
 	}()
 	for box := range r.boxes {
 		spenders[box] = customers.NewSpender(func(ctx context.Context, ask customers.SpendRequest) (customers.Grant, error) {
--- a/pkg/customers/spender.go
+++ b/pkg/customers/spender.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// askTimeout bounds one ask of a keeper. A request of a service with a target of 0.3 s waits for at most two
+	// askTimeout bounds one call to a keeper. A request of a service with a target of 0.3 s waits for at most two
 	// timeouts, and is then decided by its box's own account. An answer takes 3 ms between halls.
 	askTimeout = 100 * time.Millisecond
 	// refusalTTL is how long a box refuses a customer's requests without asking, after a keeper refused one. With a
 	// flood from one customer, each box asks the keeper at most five times per second.
 	refusalTTL = 200 * time.Millisecond
-	// maxBatch is the largest number of requests in one ask.
+	// maxBatch is the largest number of requests whose costs one SpendRequest contains.
 	maxBatch = 256
 	// maxPending bounds the requests of one customer that wait for an answer; further ones are refused. It is the
 	// number that a box receives within both timeouts at 10,000 requests per second.
@@ -39,7 +39,7 @@
 }
 
 // Spender charges the costs of this box's requests to their customers' quotas. Requests of one customer that arrive
-// while a keeper is asked are batched into the next ask. It is safe for concurrent use.
+// while a keeper is asked are batched into the next SpendRequest. It is safe for concurrent use.
 type Spender struct {
 	// AskKeeper asks the keeper of an account. After an error, which means that the keeper does not answer, the next
 	// scope is tried. BoxScope always answers.
@@ -75,8 +75,8 @@
 	return &Spender{AskKeeper: ask, queues: map[string]*queue{}}
 }
 
-// Take takes a request's cost off its customer's quota in a version of the configuration, or refuses it. It answers
-// within both timeouts of an ask.
+// Take charges a request's cost to its customer's quota in a version of the configuration, or refuses the request. It
+// answers within both timeouts of a SpendRequest.
 func (s *Spender) Take(customer *Customer, version int64, cost float64) Verdict {
 	s.mu.Lock()
 	q := s.queue(customer, version)
@@ -148,7 +148,7 @@
 // drainQueue asks until no request is pending. If none was pending, it asks once if there is something to settle.
 func (s *Spender) drainQueue(name string, q *queue) {
 	for settle := true; ; settle = false {
-		ask, batch, ok := s.nextAsk(name, q, settle)
+		ask, batch, ok := s.nextSpendRequest(name, q, settle)
 		if !ok {
 			return
 		}
@@ -158,9 +158,9 @@
 	}
 }
 
-// nextAsk takes the next ask out of a queue, including one that only settles if settle is set. It reports false if
-// there is nothing to ask; the goroutine then ends.
-func (s *Spender) nextAsk(name string, q *queue, settle bool) (ask SpendRequest, batch []pendingRequest, ok bool) {
+// nextSpendRequest builds a SpendRequest from the next requests of a queue, or one that only settles if settle is set
+// and no request is pending. It reports false if there is nothing to ask; the goroutine then ends.
+func (s *Spender) nextSpendRequest(name string, q *queue, settle bool) (ask SpendRequest, batch []pendingRequest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(q.pending), maxBatch)
@@ -191,7 +191,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		grant, err := s.AskKeeper(ctx, ask)
 		cancel()
-		// Not logged here: whoever asks the keeper logs when it loses and regains it.
+		// Not logged here: internal/cluster logs when a keeper is lost or regained.
 		if err == nil && len(grant.Waits) == len(ask.Costs) {
 			return grant, scope
 		}
@@ -199,7 +199,7 @@
 	return Grant{}, ""
 }
 
-// deliver gives all requests of an ask their verdicts, and records what must be settled.
+// deliver gives all requests of a batch their verdicts, and records what must be settled.
 func (s *Spender) deliver(q *queue, ask SpendRequest, batch []pendingRequest, grant Grant, scope Scope, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
