--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 
-	DescribeTable("goes by the wait predicted at the best engine",
+	DescribeTable("depends on the wait predicted at the best engine",
 		func(r *inflight, wait time.Duration, want *refusal) {
 			Expect(r.admit(dispatch.Choice{Wait: wait})).To(Equal(want))
 		},
@@ -54,7 +54,7 @@
 		})
 	})
 
-	It("delays a request while all engines have enough prompts to read, up to a share of its target", func() {
+	It("delays a request while all engines have enough prompts to prefill, up to a share of its target", func() {
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			route := routes.Route{
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -22,20 +22,20 @@
 	// unreachable upstreams hold all that is needed, but a moment ago they accepted no connection or rejected such
 	// a request.
 	unreachable
-	// deferred upstreams hold all that is needed, but may not get the request now: they asked this box for a
+	// throttled upstreams hold all that is needed, but may not get the request now: they asked this box for a
 	// backoff, or are cold or rate-limited and may get no more requests for a moment.
-	deferred
+	throttled
 	suitable
 )
 
-// candidates returns the upstreams of the service that may get the request now. If there are none, lacking says
+// candidates returns the upstreams of the service that may get the request now. If there are none, lacking is
 // what the most suitable upstream lacks.
 //
 // It reads this box's directory: the platform's list, the order holder's reports and what upstreams answered
 // lately. Where that is out of date, an attempt is sent that its upstream does not execute.
 func (r *inflight) candidates() (list []*fleet.State, lacking reason) {
 	now := time.Now()
-	r.deferredUpstreams = deferredUpstreams{}
+	r.throttledUpstreams = throttledUpstreams{}
 	var holders []*fleet.State
 	if r.need.Model != "" {
 		holders = r.gateway.Directory.Holders(r.service, r.need.Model)
@@ -49,7 +49,7 @@
 		switch found {
 		case suitable:
 			list = append(list, state)
-		case deferred:
+		case throttled:
 			continue // bestLevel counts them.
 		}
 		best = max(best, found)
@@ -57,7 +57,7 @@
 	if best < lacksModel && r.need.Model != "" {
 		best = max(best, r.bestLackingModel(now))
 	}
-	return list, r.lackingReason(r.deferredUpstreams.bestLevel(best))
+	return list, r.lackingReason(r.throttledUpstreams.bestLevel(best))
 }
 
 // bestLackingModel returns the suitability of the best engine among those that do not hold the model. candidates
@@ -75,11 +75,11 @@
 	return best
 }
 
-// deferredUpstreams are the upstreams that hold all that a request needs but may not get it now: they asked this
+// throttledUpstreams are the upstreams that hold all that a request needs but may not get it now: they asked this
 // box for a backoff, or are cold or rate-limited.
-type deferredUpstreams struct {
+type throttledUpstreams struct {
 	ids []string
-	// cold and limited count those that may get no more requests for a moment because they are cold or announce a
+	// cold and limited count those that may get no more requests for a moment because they are cold or name a
 	// rate limit. The others asked for a backoff.
 	cold, limited int
 	// earliestEnd is when the first of them may get requests again. It may be in the past for an upstream that
@@ -87,34 +87,34 @@
 	earliestEnd time.Time
 }
 
-func (d *deferredUpstreams) add(upstream string, until time.Time) {
-	if len(d.ids) == 0 || until.Before(d.earliestEnd) {
-		d.earliestEnd = until
+func (t *throttledUpstreams) add(upstream string, until time.Time) {
+	if len(t.ids) == 0 || until.Before(t.earliestEnd) {
+		t.earliestEnd = until
 	}
-	d.ids = append(d.ids, upstream)
+	t.ids = append(t.ids, upstream)
 }
 
 // countRateBound counts an upstream that may get no more requests for a moment.
-func (d *deferredUpstreams) countRateBound(bound fleet.RateBound) {
+func (t *throttledUpstreams) countRateBound(bound fleet.RateBound) {
 	if bound.Cold {
-		d.cold++
+		t.cold++
 		return
 	}
-	d.limited++
+	t.limited++
 }
 
-// bestLevel returns the suitability of the best upstream, given best among those that are not deferred. An
-// upstream that lacks only an adapter is preferred to a deferred one: loading the adapter takes some 10 ms, a
+// bestLevel returns the suitability of the best upstream, given best among those that are not throttled. An
+// upstream that lacks only an adapter is preferred to a throttled one: loading the adapter takes some 10 ms, a
 // backoff seconds. When 5 of 18 engines asked for a backoff, the opposite order left 8 requests in 6 s without an
 // adapter that other engines could have loaded.
-func (d *deferredUpstreams) bestLevel(best suitability) suitability {
-	if len(d.ids) == 0 || best == lacksAdapter {
+func (t *throttledUpstreams) bestLevel(best suitability) suitability {
+	if len(t.ids) == 0 || best == lacksAdapter {
 		return best
 	}
-	return max(best, deferred)
+	return max(best, throttled)
 }
 
-// suitability returns the suitability of one upstream, and adds one that is deferred to deferredUpstreams.
+// suitability returns the suitability of one upstream, and adds one that is throttled to throttledUpstreams.
 func (r *inflight) suitability(state *fleet.State, now time.Time) suitability {
 	switch {
 	case !state.Usable(now), slices.Contains(r.attempts.upstreams, state.ID):
@@ -131,13 +131,13 @@
 		return unreachable
 	}
 	if until, inBackoff := r.gateway.Directory.InBackoff(state.ID); inBackoff {
-		r.deferredUpstreams.add(state.ID, until)
-		return deferred
+		r.throttledUpstreams.add(state.ID, until)
+		return throttled
 	}
 	if bound, until := r.rateBound(state.ID, now); !until.IsZero() {
-		r.deferredUpstreams.add(state.ID, until)
-		r.deferredUpstreams.countRateBound(bound)
-		return deferred
+		r.throttledUpstreams.add(state.ID, until)
+		r.throttledUpstreams.countRateBound(bound)
+		return throttled
 	}
 	return suitable
 }
@@ -147,11 +147,11 @@
 	switch {
 	case best == suitable:
 		return ""
-	case best == deferred && r.deferredUpstreams.cold == len(r.deferredUpstreams.ids):
+	case best == throttled && r.throttledUpstreams.cold == len(r.throttledUpstreams.ids):
 		return reasonCold
-	case best == deferred && r.deferredUpstreams.limited == len(r.deferredUpstreams.ids):
+	case best == throttled && r.throttledUpstreams.limited == len(r.throttledUpstreams.ids):
 		return reasonLimited
-	case best == deferred:
+	case best == throttled:
 		return reasonBackoff
 	case best == outsideRegions:
 		return reasonRegion
--- a/internal/gateway/choice.go
+++ b/internal/gateway/choice.go
@@ -11,9 +11,9 @@
 )
 
 // pick returns the upstream for the next attempt: the best candidate, if it is expected to answer soon enough.
-// While all candidates are busy reading prompts, a request that has the time waits. While there is no candidate,
-// pick has what is lacking provided, for as long as the request may wait. It returns the refusal of a request
-// under which upstreams crash.
+// While all candidates are busy with the prefill of prompts, a request that has the time waits. While there is no
+// candidate, pick has what is lacking provided, for as long as the request may wait. It returns the refusal of a
+// request under which upstreams crash.
 func (r *inflight) pick(ctx context.Context) (dispatch.Choice, *refusal) {
 	for {
 		if refused := r.quarantined(); refused != nil {
@@ -74,7 +74,7 @@
 // costs a call to another box.
 const maxReservations = 5
 
-// choose selects the best candidate and reserves time there to read the prompt. If that engine has no time, it
+// choose selects the best candidate and reserves time there to prefill the prompt. If that engine has none, it
 // tries the other candidates. If none has time, it returns the best of all, and wait is the time until another try
 // is worthwhile.
 func (r *inflight) choose(ctx context.Context, candidates []*fleet.State) (choice dispatch.Choice, wait time.Duration, ok bool) {
@@ -106,7 +106,7 @@
 	return min(a, b)
 }
 
-// reserve reserves time at the chosen engine to read the request's prompt. If a reservation is not worthwhile or
+// reserve reserves time at the chosen engine to prefill the request's prompt. If a reservation is not worthwhile or
 // cannot be made, it decides by the reported loads. retry is the time until the engine probably has time.
 func (r *inflight) reserve(ctx context.Context, choice dispatch.Choice) (free bool, retry time.Duration) {
 	asked, worthIt := choice.Reservation(r.need)
@@ -124,8 +124,8 @@
 	return false, max(capacityPollInterval, min(maxCapacityWait, answer.Wait))
 }
 
-// hasPromptCapacity reports whether the chosen engine has time to read the prompt, judged by the reported loads.
-// If not, retry is the time until another look.
+// hasPromptCapacity reports whether the chosen engine has time to prefill the prompt, judged by the reported loads.
+// If not, retry is the time until another try.
 func (r *inflight) hasPromptCapacity(choice dispatch.Choice) (free bool, retry time.Duration) {
 	if choice.Crowded(r.need) {
 		return false, capacityPollInterval
@@ -134,7 +134,7 @@
 }
 
 // reserveOverCapacity reserves time at an engine that has none left, because the request cannot wait any longer,
-// so that other boxes know of this load. It does not wait for the answer.
+// so that other boxes take this load into account. It does not wait for the answer.
 func (r *inflight) reserveOverCapacity(ctx context.Context, choice dispatch.Choice) {
 	asked, worthIt := choice.Reservation(r.need)
 	if !worthIt || r.gateway.Reserve == nil {
@@ -145,7 +145,7 @@
 }
 
 const (
-	// capacityPollInterval is the pause before another look at engines that have enough prompts to read.
+	// capacityPollInterval is the pause before another try at engines that have enough prompts to prefill.
 	capacityPollInterval = 10 * time.Millisecond
 	// maxCapacityWait limits the pause where engines state when they have time, since others may give up reserved
 	// time earlier.
@@ -154,9 +154,9 @@
 	delayShare = 0.6
 )
 
-// mayDelay reports whether the request has time to wait until the engine has read other prompts. Prompts that are
-// read together delay the events of all streams at the engine beyond their target, and each such stream loses most
-// of its value. One answer in ten was late because of such a pause alone.
+// mayDelay reports whether the request has time to wait until the engine has prefilled other prompts. Prompts that
+// are prefilled together delay the events of all streams at the engine beyond their target, and each such stream
+// loses most of its value. One answer in ten was late because of such a pause alone.
 func (r *inflight) mayDelay(choice dispatch.Choice) bool {
 	if r.attempts.mayHaveRun > 0 {
 		return false
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// crashHistory is what this box knows of upstreams that crashed under a request in flight.
+// crashHistory is what this box knows about upstreams that crashed under a request in flight.
 type crashHistory struct {
 	// fingerprint identifies the request by its content; nil until it is needed.
 	fingerprint *quarantine.Fingerprint
@@ -153,7 +153,7 @@
 	return *r.crashHistory.fingerprint
 }
 
-// quarantineField returns the log field with what this box last knew of the request's crashes; nothing if there
+// quarantineField returns the log field with what this box last knew about the request's crashes; nothing if there
 // were none.
 func (r *inflight) quarantineField() zap.Field {
 	if r.crashHistory.verdict.Crashes == 0 {
--- a/internal/gateway/deadlines.go
+++ b/internal/gateway/deadlines.go
@@ -20,7 +20,7 @@
 	// upstreamWaitShare is the longest wait for a candidate, as a share of the route's target.
 	upstreamWaitShare = 0.22
 	// loadWaitShare is the longest wait for a load with a known end, as a share of the route's target. The rest is
-	// left for reading the prompt.
+	// left for the prefill of the prompt.
 	loadWaitShare = 0.8
 	// minUpstreamWait is the longest wait on routes with a short target or none: it is the lower limit of both
 	// waits.
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -7,8 +7,8 @@
 )
 
 // reportUnservedDemand reports the demand of a request that no engine takes: none holds its model, or those that do
-// are full or deferred. The order holder plans from the demand which models to load. The request is counted once;
-// uncached is the number of prompt tokens that an engine would have to read.
+// are full or throttled. The order holder plans from the demand which models to load. The request is counted once;
+// uncached is the number of prompt tokens that an engine would have to prefill.
 func (r *inflight) reportUnservedDemand(uncached int) {
 	if r.unservedDemandReported {
 		return
@@ -18,7 +18,7 @@
 }
 
 // reportDemand reports the engine time that the request will probably take, in milliseconds. uncached is the
-// number of prompt tokens that the engine has to read.
+// number of prompt tokens that the engine has to prefill.
 func (r *inflight) reportDemand(uncached int) {
 	if r.need.Model == "" || r.gateway.RecordDemand == nil {
 		return
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -44,7 +44,7 @@
 
 const crashTime = 60 * time.Millisecond
 
-// fakeUpstreams records the attempts that it gets and ends them as choose says.
+// fakeUpstreams records the attempts that it gets and ends them as choose decides.
 type fakeUpstreams struct {
 	mu sync.Mutex
 	// choose returns the behavior of an attempt; n counts the attempts of the request, from 1.
@@ -56,15 +56,15 @@
 	// customers and urgencies are those of the attempts.
 	customers []string
 	urgencies []int
-	// notice returns what the answer of an upstream to its nth request announces; nil announces nothing.
+	// notice returns what the answer of an upstream to its nth request states; nil states nothing.
 	notice func(upstream string, n int) fleet.Notice
 	// crashed holds the upstreams that crashed, and crashChecks counts the checks of upstreams.
 	crashed     map[string]bool
 	crashChecks int
 }
 
-// refuses reports whether an upstream crashed.
-func (f *fakeUpstreams) refuses(_ context.Context, of fleet.Upstream) bool {
+// refusesConnection reports whether an upstream crashed.
+func (f *fakeUpstreams) refusesConnection(_ context.Context, of fleet.Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashChecks++
@@ -166,7 +166,7 @@
 		Directory: fleet.New(),
 		Loads:     loads,
 		Chooser:   &dispatch.Chooser{Loads: loads},
-		Upstreams: Upstreams{Send: f.send, RefusesConnection: f.refuses},
+		Upstreams: Upstreams{Send: f.send, RefusesConnection: f.refusesConnection},
 		Ensure: func(context.Context, residency.Want) (residency.EnsureResult, error) {
 			return residency.EnsureResult{ReadyIn: 2 * time.Second}, residency.ErrNoCapacity
 		},
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	// maxHeaderBytes limits the size of a request's header, whatever the configuration says.
+	// maxHeaderBytes limits the size of a request's header, whatever the configuration sets.
 	maxHeaderBytes = 64 << 10
 	// headerTimeout limits the time in which a request's header must arrive.
 	headerTimeout = 10 * time.Second
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,15 +32,15 @@
 	Ensure func(ctx context.Context, want residency.Want) (residency.EnsureResult, error)
 	// RecordDemand records requested work per model, in milliseconds of engine time.
 	RecordDemand func(work map[residency.WorkKey]float64)
-	// Reserve reserves engine time for reading a prompt. If it is nil or returns an error, requests are placed by
-	// the reported loads alone.
+	// Reserve reserves engine time for the prefill of a prompt. If it is nil or returns an error, requests are placed
+	// by the reported loads alone.
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
-	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
+	// AskRate asks for permission to send one request to an upstream that is cold or names a rate limit. It
 	// must be set.
 	AskRate func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error)
 	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
-	// Quarantine holds what is known of requests under which upstreams crashed.
+	// Quarantine holds what is known about requests under which upstreams crashed.
 	Quarantine *quarantine.Register
 	// CallerMemory limits the memory that this box uses for callers' bodies and answers. nil sets no limit.
 	CallerMemory *MemoryBudget
@@ -73,15 +73,15 @@
 	Ensure func(ctx context.Context, want residency.Want) (residency.EnsureResult, error)
 	// RecordDemand records requested work per model, in milliseconds of engine time.
 	RecordDemand func(work map[residency.WorkKey]float64)
-	// Reserve reserves engine time for reading a prompt. If it is nil or returns an error, requests are placed by
-	// the reported loads alone.
+	// Reserve reserves engine time for the prefill of a prompt. If it is nil or returns an error, requests are placed
+	// by the reported loads alone.
 	Reserve func(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error)
-	// AskRate asks for permission to send one request to an upstream that is cold or announces a rate limit. It
+	// AskRate asks for permission to send one request to an upstream that is cold or names a rate limit. It
 	// must be set.
 	AskRate func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error)
 	// Quotas charges the costs of requests to their customers' quotas.
 	Quotas Quotas
-	// Quarantine holds what is known of requests under which upstreams crashed. nil creates a register that only
+	// Quarantine holds what is known about requests under which upstreams crashed. nil creates a register that only
 	// this box uses.
 	Quarantine *quarantine.Register
 	// MemoryBytes is this box's memory; 0 if unknown.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -45,7 +45,7 @@
 		})
 	})
 
-	It("resumes streams without gaps or repeats, under the first upstream's header, or breaks them off", func() {
+	It("resumes streams without gaps or repeats, under the first upstream's head, or breaks them off", func() {
 		spectest.Bubble(func() {
 			for seed := range uint64(60) {
 				random := rand.New(rand.NewPCG(seed, 4))
@@ -83,7 +83,7 @@
 		})
 	})
 
-	It("gives its final answer at the route's timeout, and tells upstreams the time that is left", func() {
+	It("gives its final answer at the route's timeout, and passes the time that is left to upstreams", func() {
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return hangs }, 1)
 			begun := time.Now()
@@ -141,7 +141,7 @@
 		})
 	})
 
-	It("answers 503, never 404, while it knows no configuration", func() {
+	It("answers 503, never 404, while it has no configuration", func() {
 		spectest.Bubble(func() {
 			f := newFixture(func(string, int) behavior { return succeeds }, 1)
 			f.table.Store(nil)
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -12,7 +12,7 @@
 )
 
 // inflight is a request in flight, from its route to its final answer. A single goroutine uses it. It has 19
-// fields because it holds all that the box knows of one request.
+// fields because it holds all that the box knows about one request.
 type inflight struct {
 	gateway *Gateway
 	request *Request
@@ -33,11 +33,11 @@
 	unservedDemandReported bool
 	// lastChoice is the latest choice of an upstream, for the log. Admission may have refused it.
 	lastChoice dispatch.Choice
-	// deferredUpstreams holds the upstreams that may not get the request now, as of the latest call of candidates.
-	deferredUpstreams deferredUpstreams
+	// throttledUpstreams holds the upstreams that may not get the request now, as of the latest call of candidates.
+	throttledUpstreams throttledUpstreams
 	// endpoint is the chosen upstream, as returned by the directory for the next send.
 	endpoint *fleet.Endpoint
-	// crashHistory is what this box knows of upstreams that crashed under the request.
+	// crashHistory is what this box knows about upstreams that crashed under the request.
 	crashHistory crashHistory
 	// rate holds the service's settings for cold engines and the request's rate grants.
 	rate rateState
@@ -139,7 +139,7 @@
 
 // timing records when the parts of a streamed answer were passed on, for the log.
 type timing struct {
-	// firstByte is when the header was passed on; zero for answers that are not streamed.
+	// firstByte is when the head was passed on; zero for answers that are not streamed.
 	firstByte time.Time
 	// lastEvent is when the latest event was passed on.
 	lastEvent time.Time
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -12,11 +12,11 @@
 // logSentAgainstNotice counts and logs a request that is sent although answers of its upstream gave notice that it
 // leaves, wants a backoff or limits its requests.
 func (r *inflight) logSentAgainstNotice(choice dispatch.Choice) {
-	against := r.gateway.Directory.Restrictions(choice.Upstream.ID)
-	if against.Limit.Named() {
-		r.logSentToLimited(choice, against.Limit)
+	restrictions := r.gateway.Directory.Restrictions(choice.Upstream.ID)
+	if restrictions.Limit.Named() {
+		r.logSentToLimited(choice, restrictions.Limit)
 	}
-	if !against.Any() {
+	if !restrictions.Any() {
 		return
 	}
 	r.gateway.Metrics.GetOrCreateCounter("ospreymoor_sent_against_notice_total").Inc()
@@ -24,13 +24,13 @@
 		zap.String("id", r.request.ID),
 		zap.String("backend", choice.Upstream.ID),
 		zap.Int("sending", r.attempts.sent),
-		zap.Duration("leavingFor", against.LeavingFor),
-		zap.Duration("restLeft", against.BackoffLeft),
+		zap.Duration("leavingFor", restrictions.LeavingFor),
+		zap.Duration("restLeft", restrictions.BackoffLeft),
 		zap.Int64("listRevision", choice.Upstream.Revision))
 }
 
-// logSentToLimited counts and logs a request that is sent to an upstream with an announced rate limit. The lines
-// of all boxes together show whether the limit is kept.
+// logSentToLimited counts and logs a request that is sent to an upstream that names a rate limit. The lines of
+// all boxes together show whether the limit is kept.
 func (r *inflight) logSentToLimited(choice dispatch.Choice, limit fleet.Limit) {
 	r.gateway.Metrics.GetOrCreateCounter("ospreymoor_sent_to_limited_total").Inc()
 	r.gateway.Log.Info("sent to limited upstream",
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -27,7 +27,7 @@
 type outcome int
 
 const (
-	// outcomeAbandoned: the caller disconnected during the attempt. This says nothing about the upstream.
+	// outcomeAbandoned: the caller disconnected during the attempt. This shows nothing about the upstream.
 	outcomeAbandoned outcome = iota
 	// outcomeNotSent: no part of the request reached the upstream.
 	outcomeNotSent
@@ -83,7 +83,7 @@
 		directory.MarkMissing(id, r.need.Model, r.need.Adapter)
 	case outcomeNotExecuted:
 		if r.endpoint.AskedForBackoff() {
-			// Boxes tell each other of failures, so that boxes that have not sent to this upstream yet prefer others. In a
+			// Boxes report failures to each other, so that those that have not sent to this upstream yet prefer others. In a
 			// replay in internal/node with 60 boxes and 90 engines, of which 23 reject all requests for 6 s, 551 of 15,120
 			// requests were not served without this.
 			r.gateway.Loads.RecordOutcome(id, false)
--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -31,7 +31,7 @@
 		return 0, r.refusalFor(lacking, 0)
 	}
 	if lacking == reasonBackoff || lacking == reasonCold || lacking == reasonLimited {
-		return r.awaitDeferred(lacking, left)
+		return r.awaitThrottled(lacking, left)
 	}
 	if lacking == reasonNoModel {
 		r.reportUnservedDemand(r.need.PromptTokens)
@@ -42,12 +42,12 @@
 	return r.ensure(ctx, lacking, left)
 }
 
-// awaitDeferred returns how long to wait until the first deferred upstream may get the request. If that exceeds
+// awaitThrottled returns how long to wait until the first throttled upstream may get the request. If that exceeds
 // left, it refuses the request at once, with a Retry-After that is spread at random. The refused work counts as
-// demand, so that another engine gets the model if the backoff lasts.
-func (r *inflight) awaitDeferred(lacking reason, left time.Duration) (time.Duration, *refusal) {
+// demand, so that another engine gets the model if the upstreams stay throttled.
+func (r *inflight) awaitThrottled(lacking reason, left time.Duration) (time.Duration, *refusal) {
 	r.rate.asked = 0 // There is no other upstream to use instead.
-	wait := max(directoryPoll, time.Until(r.deferredUpstreams.earliestEnd))
+	wait := max(directoryPoll, time.Until(r.throttledUpstreams.earliestEnd))
 	if wait <= left {
 		return wait, nil
 	}
@@ -57,14 +57,14 @@
 
 // ensure asks the order holder to load the model or adapter, and returns how long to wait, at most left. Once the
 // order holder has stated when the load ends, the request may wait for it. If the order holder cannot be reached,
-// Ready is 0 and it is asked again until no time is left.
+// ReadyIn is 0 and it is asked again until no time is left.
 func (r *inflight) ensure(ctx context.Context, lacking reason, left time.Duration) (time.Duration, *refusal) {
 	askCtx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	ensured, err := r.gateway.Ensure(askCtx, residency.Want{
-		Service: r.service, Model: r.need.Model, Adapter: r.need.Adapter, Avoid: r.deferredUpstreams.ids, Halls: r.allowedHalls(),
+		Service: r.service, Model: r.need.Model, Adapter: r.need.Adapter, Avoid: r.throttledUpstreams.ids, Halls: r.allowedHalls(),
 	})
-	if ensured.Upstream != "" && !slices.Contains(r.deferredUpstreams.ids, ensured.Upstream) {
+	if ensured.Upstream != "" && !slices.Contains(r.throttledUpstreams.ids, ensured.Upstream) {
 		r.gateway.Directory.MergeResidency(ensured.Term, map[string]fleet.Residency{ensured.Upstream: ensured.Residency})
 		return 0, nil
 	}
--- a/internal/gateway/ratebound.go
+++ b/internal/gateway/ratebound.go
@@ -52,7 +52,7 @@
 }
 
 // acquireRateGrant reports whether the request may go to the chosen upstream. An upstream that is cold or
-// announces a rate limit gets no more requests from all boxes together than it accepts, so its keeper is asked for
+// names a rate limit gets no more requests from all boxes together than it accepts, so its keeper is asked for
 // a grant for each request. An upstream without a grant is left out until the keeper may be asked again.
 func (r *inflight) acquireRateGrant(ctx context.Context, choice dispatch.Choice) bool {
 	id := choice.Upstream.ID
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -32,7 +32,7 @@
 	// reasonCold: the engines that hold all that is needed are cold and already get as many requests as they can
 	// handle.
 	reasonCold reason = "back ends are cold"
-	// reasonLimited: the upstreams that hold all that is needed announce rate limits and already get as many
+	// reasonLimited: the upstreams that hold all that is needed name rate limits and already get as many
 	// requests as those allow.
 	reasonLimited reason = "back ends limit requests"
 	// reasonRegion: no upstream of the service is in a region where the request may be served.
@@ -165,7 +165,7 @@
 	_, _ = w.Write([]byte(body))
 }
 
-// writeHead sets the headers that tell the caller how and when to try again.
+// writeHead sets the headers that state how and when the caller may try again.
 func (r *refusal) writeHead(header http.Header) {
 	if r.status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
--- a/internal/gateway/reservations_test.go
+++ b/internal/gateway/reservations_test.go
@@ -235,7 +235,7 @@
 
 	// The fast engines pause streams for 0.42 s at most, however many prompts wait there. The slow ones pause them
 	// for up to 0.54 s, and for 0.53 s by one of the longer prompts alone.
-	DescribeTable("avoid engines whose streams they would pause for too long, as far as there are others",
+	DescribeTable("avoid engines whose streams they would pause for too long, where there are others",
 		func(utilization, mostLong float64, mostFirst time.Duration) {
 			long, first := play(utilization, func() *promptFleet {
 				f := newPromptFleet(true)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,7 +17,7 @@
 type stream struct {
 	*inflight
 	w http.ResponseWriter
-	// headWritten is set once the header was passed on. From then on the request cannot be refused.
+	// headWritten is set once the head was passed on. From then on the request cannot be refused.
 	headWritten bool
 	// lastEventID is the id of the last complete event that the caller received; empty if there is none.
 	lastEventID string
@@ -134,7 +134,7 @@
 	}
 }
 
-// writeHead passes the header on. It is that of the first upstream whose events the caller gets; upstreams at
+// writeHead passes the head on. It is that of the first upstream whose events the caller gets; upstreams at
 // which the stream resumes only add events.
 func (s *stream) writeHead(answer *Answer) {
 	s.headWritten = true
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// end ends a stream that no upstream completes. Once its header was written the stream can only be broken off; the
+// end ends a stream that no upstream completes. Once its head was written the stream can only be broken off; the
 // status of the refusal is then only logged.
 func (s *stream) end(refused *refusal) error {
 	if !s.headWritten {
--- a/internal/gateway/upstreams.go
+++ b/internal/gateway/upstreams.go
@@ -33,7 +33,7 @@
 	Customer string
 }
 
-// Answer is an upstream's answer up to its header, with the body still to be read.
+// Answer is the head of an upstream's answer, with the body still to be read.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -51,9 +51,9 @@
 	// Send makes one attempt and returns the head of the answer. The error is ErrNotSent, ErrBroken or that of
 	// ctx. When ctx ends, the upstream cancels its run.
 	Send func(ctx context.Context, to *fleet.Endpoint, attempt Attempt) (*Answer, error)
-	// RefusesConnection reports whether the upstream's host refuses connections to it, which means that its process is gone.
-	// It returns false if the host does not answer before ctx ends. If RefusesConnection is nil, no upstream counts as
-	// crashed.
+	// RefusesConnection reports whether the upstream's host refuses connections to it, which means that its process
+	// is gone. It returns false if the host does not answer before ctx ends. If RefusesConnection is nil, no upstream
+	// counts as crashed.
 	RefusesConnection func(ctx context.Context, of fleet.Upstream) bool
 	// Forget closes the idle connections to an upstream that is gone.
 	Forget func(upstream string)
