--- a/pkg/fleet/interner.go
+++ b/pkg/fleet/interner.go
@@ -5,7 +5,7 @@
 type nameInterner map[string]string
 
 // maxInternedNames bounds the table. A full table is cleared, since models and adapters come and go
-// during a directory's life.
+// while a directory exists.
 const maxInternedNames = 1 << 14
 
 func (n nameInterner) intern(name string) string {
--- a/pkg/fleet/limit.go
+++ b/pkg/fleet/limit.go
@@ -68,18 +68,18 @@
 
 // updateLimit applies what an answer states about the limit, and returns what changed: the limit that
 // it names, or that it ended. The caller holds the lock.
-func (t *noticeState) updateLimit(now time.Time, n Notice) (named *float64, ended bool) {
-	previous := t.limit
+func (s *noticeState) updateLimit(now time.Time, n Notice) (named *float64, ended bool) {
+	previous := s.limit
 	switch {
 	case n.Limit != nil:
-		t.limit = Limit{PerSecond: *n.Limit, At: now}
+		s.limit = Limit{PerSecond: *n.Limit, At: now}
 	case n.Unlimited && previous.Named() && previous.At.Before(n.requestStart):
-		t.limit = Limit{At: now, Ended: true}
+		s.limit = Limit{At: now, Ended: true}
 	}
-	if t.limit.same(previous) {
+	if s.limit.same(previous) {
 		return nil, false
 	}
-	return n.Limit, t.limit.Ended
+	return n.Limit, s.limit.Ended
 }
 
 // recordLimitChange marks an upstream's limit to be reported to other boxes. It also ends the deferral
@@ -118,16 +118,16 @@
 	if d.states[id] == nil {
 		return false
 	}
-	known, reported := d.notices[id], report.toLimit(now)
-	changed = !known.limit.same(reported)
-	if known.limit.At.After(reported.At) {
+	stored, reported := d.notices[id], report.toLimit(now)
+	changed = !stored.limit.same(reported)
+	if stored.limit.At.After(reported.At) {
 		if changed {
 			d.changedLimits[id] = true
 		}
 		return false
 	}
-	known.limit, known.lastSeen = reported, now
-	d.notices[id] = known
+	stored.limit, stored.lastSeen = reported, now
+	d.notices[id] = stored
 	if changed {
 		delete(d.deferredUntil, id)
 	}
@@ -153,8 +153,8 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var ids []string
-	for id, known := range d.notices {
-		if known.limit.Named() {
+	for id, stored := range d.notices {
+		if stored.limit.Named() {
 			ids = append(ids, id)
 		}
 	}
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -21,7 +21,7 @@
 	Joined ChangeKind = "joined"
 	// Leaving upstreams began to leave.
 	Leaving ChangeKind = "leaving"
-	// Lapsed upstreams have no entry any more; they are used until lapseGrace is over.
+	// Lapsed upstreams have no entry any more; they are used until lapseGrace has passed.
 	Lapsed ChangeKind = "lapsed"
 	// Removed upstreams are gone from the directory.
 	Removed ChangeKind = "removed"
@@ -106,11 +106,11 @@
 // or false if there is none. The caller holds the lock.
 func (d *Directory) updateState(id string, previousCurrentAt time.Time) (Change, bool) {
 	old := d.states[id]
-	entry, live := d.listing.currentEntry(id)
+	entry, current := d.listing.currentEntry(id)
 	switch {
-	case !live && old == nil:
+	case !current && old == nil:
 		return Change{}, false
-	case !live:
+	case !current:
 		return d.lapseOrDrop(old, previousCurrentAt)
 	case old != nil && old.Revision == entry.Revision && old.DropAt.IsZero():
 		return Change{}, false
--- a/pkg/fleet/marks.go
+++ b/pkg/fleet/marks.go
@@ -67,9 +67,8 @@
 	}
 }
 
-// ExpireMarks drops expired marks, and the notices of upstreams that are gone. It also drops cold
-// records and deferrals that are over. The caller must call it regularly, since records of upstreams
-// that are gone are dropped nowhere else.
+// ExpireMarks drops expired marks and notices, and cold records and deferrals that are over. The caller
+// must call it regularly, since marks and notices of upstreams that are gone are dropped nowhere else.
 func (d *Directory) ExpireMarks() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -13,7 +13,7 @@
 //
 //	notice   begins                          binds                    ends
 //	leaving  with the answer that stated it  every box that knows it  with that incarnation; no list revokes it
-//	rest     with the answer that asked      this box                 after the time it asked for; see backoff
+//	backoff  with the answer that asked      this box                 after the time it asked for; see backoff
 //	limit    with the answer that named it   every box that knows it  with an answer that names none; see Limit
 
 // Notice is what the head of one answer states about the upstream's process, apart from the answer
@@ -24,14 +24,14 @@
 	// Backoff is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
 	// asked for none.
 	Backoff time.Duration
-	// Cold is how long the upstream stays cold; 0 if it did not say so.
+	// Cold is how long the upstream stays cold; 0 if it did not state a time.
 	Cold time.Duration
 	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
 	// no limit.
 	Limit *float64
 	// Unlimited means that the answer names no limit, and belongs to the request that was sent.
 	Unlimited bool
-	// Unreadable is a value that could not be parsed, which Note shortens; empty if all values could.
+	// Unreadable is a value that could not be parsed, which RecordNotice shortens; empty if all values could.
 	Unreadable string
 	// Source is what the answer was to, or SourceBox if another box reported the notice.
 	Source Source
@@ -123,17 +123,17 @@
 // platform allows after an answer that asks for a backoff. The caller must call End.
 func (d *Directory) Begin(upstream *Upstream) (*Endpoint, error) {
 	d.mu.RLock()
-	known, isKnown := d.notices[upstream.ID]
+	stored, found := d.notices[upstream.ID]
 	evacuated := d.evacuated[upstream.Hall]
 	d.mu.RUnlock()
-	if isKnown && !known.leavingAt.IsZero() {
+	if found && !stored.leavingAt.IsZero() {
 		return nil, ErrLeaving
 	}
 	if evacuated {
 		return nil, ErrEvacuated
 	}
 	endpoint := &Endpoint{Upstream: *upstream, directory: d, startedAt: time.Now()}
-	if isKnown {
+	if found {
 		var ok bool
 		if endpoint.backoffEnd, ok = d.beginAfterBackoff(upstream.ID); !ok {
 			return nil, ErrBackoff
@@ -169,47 +169,47 @@
 // RecordNotice stores a notice of an upstream, and calls OnNotice if it states something new.
 func (d *Directory) RecordNotice(id string, n Notice) {
 	n.Unreadable = n.Unreadable[:min(len(n.Unreadable), maxUnreadableBytes)]
-	if news := d.storeNotice(id, n); !news.empty() && d.OnNotice != nil {
-		d.OnNotice(NoticeEvent{Notice: news, Upstream: id})
+	if changed := d.storeNotice(id, n); !changed.empty() && d.OnNotice != nil {
+		d.OnNotice(NoticeEvent{Notice: changed, Upstream: id})
 	}
 }
 
-// storeNotice stores a notice, and returns what is new in it: concurrent answers may state the same.
-func (d *Directory) storeNotice(id string, n Notice) (news Notice) {
+// storeNotice stores a notice, and returns the part that is new, since concurrent answers may state the same.
+func (d *Directory) storeNotice(id string, n Notice) (changed Notice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	known := d.notices[id]
-	known.lastSeen = now
-	news = n
-	news.Leaving = n.Leaving && known.leavingAt.IsZero()
+	stored := d.notices[id]
+	stored.lastSeen = now
+	changed = n
+	changed.Leaving = n.Leaving && stored.leavingAt.IsZero()
 	if n.Cold > 0 {
 		if time.Now().Before(d.cold[id].coldUntil) {
-			news.Cold = 0
+			changed.Cold = 0
 		}
 		d.setCold(id, n.Cold)
 	}
-	if news.Leaving {
-		known.leavingAt = now
+	if changed.Leaving {
+		stored.leavingAt = now
 	}
 	if n.Backoff > 0 {
-		known.backoff = d.BackoffPolicy.start(now, n.Backoff)
+		stored.backoff = d.BackoffPolicy.start(now, n.Backoff)
 	}
-	news.Limit, news.Unlimited = known.updateLimit(now, n)
-	if news.Limit != nil || news.Unlimited {
+	changed.Limit, changed.Unlimited = stored.updateLimit(now, n)
+	if changed.Limit != nil || changed.Unlimited {
 		d.recordLimitChange(id)
 	}
-	if !news.Leaving && n.Backoff <= 0 && n.Limit == nil && !news.Unlimited {
-		return news
+	if !changed.Leaving && n.Backoff <= 0 && n.Limit == nil && !changed.Unlimited {
+		return changed
 	}
-	d.notices[id] = known
-	if state := d.states[id]; state != nil && !known.leavingAt.IsZero() && !state.Leaving {
+	d.notices[id] = stored
+	if state := d.states[id]; state != nil && !stored.leavingAt.IsZero() && !state.Leaving {
 		leaving := *state
 		leaving.setLeaving()
 		d.states[id] = &leaving
 		d.reindex(id)
 	}
-	return news
+	return changed
 }
 
 // LeavingByAnswer returns the upstreams that are leaving by what answers stated, but not yet by their
@@ -218,8 +218,8 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var ids []string
-	for id, known := range d.notices {
-		if state := d.states[id]; state != nil && !known.leavingAt.IsZero() && !state.listedLeaving {
+	for id, stored := range d.notices {
+		if state := d.states[id]; state != nil && !stored.leavingAt.IsZero() && !state.listedLeaving {
 			ids = append(ids, id)
 		}
 	}
@@ -237,7 +237,8 @@
 	}
 }
 
-// Restrictions is what a request sent to an upstream at this moment would disregard.
+// Restrictions holds the notices that a request sent to an upstream at this moment would disregard, and its
+// rate limit.
 type Restrictions struct {
 	// LeavingFor is how long this box has known that the upstream is leaving; 0 if it does not.
 	LeavingFor time.Duration
@@ -248,40 +249,40 @@
 	Limit Limit
 }
 
-// Restrictions returns what a request sent to an upstream now would disregard.
+// Restrictions returns the restrictions on requests to an upstream as of now.
 func (d *Directory) Restrictions(id string) Restrictions {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	known, ok := d.notices[id]
+	stored, ok := d.notices[id]
 	if !ok {
 		return Restrictions{}
 	}
 	now := time.Now()
-	against := Restrictions{BackoffLeft: max(0, known.backoff.until.Sub(now)), Limit: known.limit}
-	if !known.leavingAt.IsZero() {
-		against.LeavingFor = max(1, now.Sub(known.leavingAt))
+	restrictions := Restrictions{BackoffLeft: max(0, stored.backoff.until.Sub(now)), Limit: stored.limit}
+	if !stored.leavingAt.IsZero() {
+		restrictions.LeavingFor = max(1, now.Sub(stored.leavingAt))
 	}
-	return against
+	return restrictions
 }
 
 // Any reports whether the request would disregard anything. A limit does not count, since it allows
 // some requests.
-func (a Restrictions) Any() bool { return a.LeavingFor > 0 || a.BackoffLeft > 0 }
+func (r Restrictions) Any() bool { return r.LeavingFor > 0 || r.BackoffLeft > 0 }
 
 // noticeRetention is how long the notices of an upstream are kept while no list has it. After an outage
 // of the store, its list may lack entries that come back later; after that time an id is not seen
 // again. The value is well above the outages that the platform names.
 const noticeRetention = 5 * time.Minute
 
-// expireNotices drops the notices of upstreams that are gone, and those that are no longer in force.
-// The caller holds the lock.
+// expireNotices drops the notices of upstreams that have been gone for longer than noticeRetention, and
+// those that are no longer in force. The caller holds the lock.
 func (d *Directory) expireNotices(now time.Time) {
-	for id, known := range d.notices {
+	for id, stored := range d.notices {
 		if d.states[id] != nil {
-			known.lastSeen = now
-			d.notices[id] = known
+			stored.lastSeen = now
+			d.notices[id] = stored
 		}
-		if now.Sub(known.lastSeen) > noticeRetention || known.leavingAt.IsZero() && known.backoff.ended(now) && !known.limit.Named() && now.Sub(known.limit.At) > endedLimitRetention {
+		if now.Sub(stored.lastSeen) > noticeRetention || stored.leavingAt.IsZero() && stored.backoff.ended(now) && !stored.limit.Named() && now.Sub(stored.limit.At) > endedLimitRetention {
 			delete(d.notices, id)
 		}
 	}
--- a/pkg/fleet/ratebound.go
+++ b/pkg/fleet/ratebound.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RateBound is what bounds the rate of all boxes' requests to an upstream, as far as this box knows.
+// RateBound describes what bounds the rate of all boxes' requests to an upstream, by what this box knows.
 type RateBound struct {
 	// Cold means that the upstream is cold, or may be.
 	Cold bool
--- a/pkg/fleet/updates.go
+++ b/pkg/fleet/updates.go
@@ -20,10 +20,10 @@
 	return next.Sequence
 }
 
-// ResidencyDiffers reports whether a residency adds to what boxes know of an engine from its entry in the list, or
-// corrects a residency published before. A new order holder asks all engines what they hold, and most
-// answer what the list has. If these answers were published all the same, each box of a large fleet
-// would be sent as many residencies as there are engines at each change of the holder.
+// ResidencyDiffers reports whether a residency adds to what boxes know about an engine from its entry in
+// the list, or corrects a residency published before. A new order holder asks all engines what they
+// hold, and most answer what the list has. If these answers were published all the same, each box of a
+// large fleet would be sent as many residencies as there are engines at each change of the holder.
 func (d *Directory) ResidencyDiffers(engine string, next Residency) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
