--- a/pkg/dispatch/choice.go
+++ b/pkg/dispatch/choice.go
@@ -15,7 +15,7 @@
 	// about the same score.
 	jitter = 2 * time.Millisecond
 	// crowdedShare is the fraction of the gap target above which an engine's predicted pause counts as
-	// crowded. The rest is a margin for prompts of other boxes that this box does not know of yet.
+	// crowded. The rest is a margin for prompts of other boxes that were not reported to this box yet.
 	crowdedShare = 0.7
 	// busyPenalty is added for an engine that is loading or unloading a model.
 	busyPenalty = 2 * time.Millisecond
--- a/pkg/dispatch/observations_test.go
+++ b/pkg/dispatch/observations_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("observations", func() {
-	It("tell a peer which prompts an engine has cached, without each request's own part", func() {
+	It("show a peer which prompts an engine has cached, without each request's own part", func() {
 		spectest.Bubble(func() {
 			tracker := dispatch.NewLoadTracker()
 			choice, _ := (&dispatch.Chooser{Loads: tracker, Hall: "z"}).Choose(need("x"), engines(1))
--- a/pkg/dispatch/pauses.go
+++ b/pkg/dispatch/pauses.go
@@ -12,8 +12,8 @@
 // One of many boxes sees a stream of a given engine only once in many seconds, so boxes share their
 // observations. Where all engines are slow, this delays first tokens.
 const (
-	// maxPauseShare is the initial and the largest share. The rest is left for short prompts, which are not
-	// reserved for.
+	// maxPauseShare is the initial and the largest share. The rest is left for short prompts, for which
+	// no time is reserved.
 	maxPauseShare = 0.9
 	// minPauseShare is the smallest share. Where all engines are slow, a smaller one would only delay prompts.
 	minPauseShare = 0.55
--- a/pkg/dispatch/rates.go
+++ b/pkg/dispatch/rates.go
@@ -21,7 +21,7 @@
 	Engine string `json:"engine"`
 	// ColdPerSecond is the rate that a cold engine of the service can take; 0 if the upstream is not cold.
 	ColdPerSecond float64 `json:"perSecond"`
-	// Limit is the limit that the upstream reported, as known to the asking box; nil if none is known.
+	// Limit is the limit that the upstream names, as known to the asking box; nil if none is known.
 	Limit *fleet.LimitReport `json:"limit,omitempty"`
 	// Hall takes the request from the account of the asking box's hall instead of the account of all boxes.
 	Hall bool `json:"hall,omitempty"`
@@ -45,13 +45,13 @@
 	maxRequestTransit = 400 * time.Millisecond
 	// coldBurst is how many requests to a cold engine may be granted at once.
 	coldBurst = 1
-	// limitBurstTime is the burst of an upstream that reported a limit, as time at its rate; it is at least
+	// limitBurstTime is the burst of an upstream that names a limit, as time at its rate; it is at least
 	// minLimitBurst requests. Without a burst, grants are lost because denied boxes retry later than
 	// requests may be granted.
 	limitBurstTime = 500 * time.Millisecond
 	minLimitBurst  = 2
-	// minLimitRate is the lowest rate of grants to an upstream that reported a limit, in requests per second.
-	// Only a response to a request can tell that the limit has ended.
+	// minLimitRate is the lowest rate of grants to an upstream that names a limit, in requests per second. Only
+	// the response to a request can show that the limit has ended.
 	minLimitRate = 0.1
 	// maxRateWait bounds the time between two asks of one box.
 	maxRateWait = time.Second
@@ -146,7 +146,7 @@
 	return grant
 }
 
-// rateAccountTTL is the time after which an account is dropped if nobody asks.
+// rateAccountTTL is the time after which an account is dropped if no box asks.
 const rateAccountTTL = 10 * time.Second
 
 // pruneAccounts drops the accounts of upstreams that were not asked for lately. The caller holds the lock.
--- a/pkg/dispatch/reservations.go
+++ b/pkg/dispatch/reservations.go
@@ -23,7 +23,7 @@
 type ReservationAnswer struct {
 	// Taken means that the time is reserved.
 	Taken bool `json:"taken"`
-	// Wait is the time after which it could be reserved, if nobody else takes it; 0 if it is taken.
+	// Wait is the time after which it could be reserved, if no other box takes it; 0 if it is taken.
 	Wait time.Duration `json:"wait,omitempty"`
 }
 
--- a/pkg/dispatch/reservations_test.go
+++ b/pkg/dispatch/reservations_test.go
@@ -23,7 +23,7 @@
 	It("are taken while an engine prefills for no longer than the budget in a window", func() {
 		r := dispatch.NewReservations()
 		Expect(r.Reserve(ask("a", read), begin)).To(Equal(taken))
-		By("telling when there will be time")
+		By("returning when there will be time")
 		Expect(r.Reserve(ask("a", read), begin)).To(Equal(dispatch.ReservationAnswer{Wait: 80 * time.Millisecond}))
 		Expect(r.Reserve(ask("a", read), begin.Add(240*time.Millisecond)).Taken).To(BeFalse())
 		Expect(r.Reserve(ask("a", read), begin.Add(320*time.Millisecond))).To(Equal(taken))
--- a/pkg/dispatch/services.go
+++ b/pkg/dispatch/services.go
@@ -22,7 +22,7 @@
 	responseTimeWeight = 0.1
 	// responseTimeDecay is the time without a response after which the weight of an upstream's own average
 	// falls to 1/e, and the average of the service replaces it. An upstream that was slow gets few requests
-	// and would otherwise be taken for slow long after.
+	// and would otherwise count as slow long after.
 	responseTimeDecay = 5 * time.Second
 	// defaultResponseTime is used for a service that has not responded yet.
 	defaultResponseTime = 50 * time.Millisecond
@@ -38,22 +38,22 @@
 }
 
 // add adds the response time of one request.
-func (a *responseTime) add(took time.Duration, now time.Time) {
-	if a.last.IsZero() {
-		a.mean = took
+func (r *responseTime) add(took time.Duration, now time.Time) {
+	if r.last.IsZero() {
+		r.mean = took
 	} else {
-		a.mean += scale(took-a.mean, responseTimeWeight)
+		r.mean += scale(took-r.mean, responseTimeWeight)
 	}
-	a.last = now
+	r.last = now
 }
 
-// expected returns the expected response time at a time, given the mean of the service.
-func (a *responseTime) expected(serviceMean time.Duration, now time.Time) time.Duration {
-	if a.last.IsZero() {
+// expected returns the response time that is expected at now, given the mean of the service.
+func (r *responseTime) expected(serviceMean time.Duration, now time.Time) time.Duration {
+	if r.last.IsZero() {
 		return max(minResponseTime, serviceMean)
 	}
-	ownWeight := math.Exp(-now.Sub(a.last).Seconds() / responseTimeDecay.Seconds())
-	return max(minResponseTime, serviceMean+scale(a.mean-serviceMean, ownWeight))
+	ownWeight := math.Exp(-now.Sub(r.last).Seconds() / responseTimeDecay.Seconds())
+	return max(minResponseTime, serviceMean+scale(r.mean-serviceMean, ownWeight))
 }
 
 // chooseService chooses a random upstream of a plain service, weighted by load. The caller holds the tracker's lock.
@@ -154,7 +154,8 @@
 	return list
 }
 
-// weightedIndex returns the index at point, from 0 to 1, of the cumulated shares.
+// weightedIndex returns the index of the share that point, from 0 to 1, falls into. The shares divide that range in
+// order, so that a random point selects each index with the probability of its share.
 func weightedIndex(shares []float64, point float64) int {
 	var sum float64
 	for _, share := range shares {
--- a/pkg/dispatch/services_test.go
+++ b/pkg/dispatch/services_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// exchangeLoads tells each box the present loads of the others.
+// exchangeLoads gives each box the current loads of the others.
 func (s *plainService) exchangeLoads() {
 	all := map[string]dispatch.Load{}
 	own := make([]map[string]dispatch.Load, s.boxes)
