--- a/internal/cluster/activity_codec.go
+++ b/internal/cluster/activity_codec.go
@@ -25,7 +25,7 @@
 // few thousand uses are expected.
 const maxActivityItems = 1 << 16
 
-// errBadActivity is the error of binary activity that cannot be decoded.
+// errBadActivity is the error for binary activity that cannot be decoded.
 const errBadActivity = errors.ConstError("activity in binary form unreadable: the sender's next exchange brings the loads anew")
 
 // activityWriter appends encoded values to bytes.
--- a/internal/cluster/crashes.go
+++ b/internal/cluster/crashes.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxCrashesPerMessage bounds the requests that one message reports, in entries; the others wait. With 20 bytes
-	// each they take a link of 10 Mbit/s 16 ms. 1000 are the requests of ten engines.
+	// each they take a link of 10 Mbit/s 16 ms. 1000 is as many as ten engines have in flight.
 	maxCrashesPerMessage = 1000
 	// urgentRate and urgentBurst bound how often a box reports crashes outside of the regular exchanges: a relay of
 	// 73 boxes makes 73 calls each time. The burst covers the first two crashes under a request and one more. When
--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,4 +1,4 @@
-// Package cluster holds what one box of `ospreymoor node` knows of the other boxes, and how boxes exchange it.
+// Package cluster keeps what one box of `ospreymoor node` knows about the other boxes, and exchanges data with them.
 //
 // It owns the membership (Members), which holds for each other box its latest report, its load summary and the state
 // of the calls to it. It also owns the updates that are queued for each other box (PendingUpdates). Exchange calls
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -233,14 +233,16 @@
 	return bytes + len(delta.Large)*overhead
 }
 
-// Pauses between two requests for a first copy of the store. The pause doubles from the first bound to the second.
+// Bounds of the pause between two requests for a first copy of the store. The pause doubles from the first bound to
+// the second, and a random time up to its length is added.
 const (
 	minBootstrapPause = 200 * time.Millisecond
 	maxBootstrapPause = time.Second
 )
 
-// bootstrap requests a first copy of the store from the seeds and from the boxes that the store listed first. The
-// store may be unreachable, or too large for each box to read it whole.
+// bootstrap requests a first copy of the store from the seeds and from the boxes that the store listed first: once
+// from all of them, then from a random one at a time. The store itself may be unreachable, or too large for each box
+// to read it whole.
 func (e *Exchange) bootstrap(ctx context.Context) {
 	wait := minBootstrapPause
 	for round := 0; e.Mirror.State().Revision == 0; round++ {
@@ -250,10 +252,10 @@
 		}
 		if round == 0 {
 			for _, source := range sources {
-				go e.askSeed(ctx, source)
+				go e.bootstrapFrom(ctx, source)
 			}
 		} else {
-			go e.askSeed(ctx, sources[rand.IntN(len(sources))])
+			go e.bootstrapFrom(ctx, sources[rand.IntN(len(sources))])
 		}
 		if pause.For(ctx, wait+rand.N(wait)) != nil {
 			return
@@ -276,8 +278,8 @@
 // maxBootstrapSources bounds the boxes that are asked for a first copy of the store.
 const maxBootstrapSources = 32
 
-// askSeed requests a first copy of the store from one box.
-func (e *Exchange) askSeed(ctx context.Context, address string) {
+// bootstrapFrom requests a first copy of the store from one box.
+func (e *Exchange) bootstrapFrom(ctx context.Context, address string) {
 	callCtx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	answer, err := peer.Call[message](callCtx, e.Client, address, methodExchange, e.messageTo("", noScope))
--- a/internal/cluster/leaving_test.go
+++ b/internal/cluster/leaving_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("upstreams whose answers said that they leave", func() {
+var _ = Describe("upstreams that announced in an answer that they are leaving", func() {
 	list := func(count int) (ids []string) {
 		for n := range count {
 			ids = append(ids, fmt.Sprintf("e%03d", n))
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Members is what this box knows of the other boxes of the fleet. It is safe for concurrent use.
+// Members holds what this box knows about the other boxes of the fleet. It is safe for concurrent use.
 type Members struct {
 	self Box
 	// started is when this box began to look for others.
@@ -165,7 +165,7 @@
 	m.updateMaxBoxes()
 }
 
-// removeGone removes boxes that are not registered and send nothing. The caller holds the lock.
+// removeGone removes boxes that are not registered and have sent nothing for memberTTL. The caller holds the lock.
 func (m *Members) removeGone(now time.Time) {
 	for name, other := range m.byName {
 		if !other.registered && now.Sub(other.report.received) > memberTTL {
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -76,7 +76,7 @@
 	Revision int64 `json:"revision"`
 	// Delta holds the changes that the sender's copy of the store has and the receiver's lacks.
 	Delta *mirror.Delta `json:"delta,omitempty"`
-	// OrderHolder is the box that holds the order lease, as far as the sender knows.
+	// OrderHolder is the box that holds the order lease according to the sender; nil if none is known.
 	OrderHolder *orderHolder `json:"orderHolder,omitempty"`
 	// Version is that of the sender's directory, and Update holds what the receiver's directory lacks.
 	Version fleet.Version `json:"stamp"`
@@ -87,16 +87,17 @@
 	Work         []workItem            `json:"work,omitempty"`
 	// PackedActivity replaces Summary, Observations and Work where these are long; see pack.
 	PackedActivity []byte `json:"packed,omitempty"`
-	// BinaryActivity replaces the same fields, in binary format, for a box that reads it; see activity.encode.
+	// BinaryActivity replaces the same fields, in binary format, for a box that reads it; see activity.encode. Only
+	// Observations.Paused is still sent as JSON, because the binary format has no such field.
 	BinaryActivity []byte `json:"activity,omitempty"`
 	// ReadsBinary means that the sender reads BinaryActivity.
 	ReadsBinary bool `json:"readsBinary,omitempty"`
-	// Crashes are changes of what the sender knows of requests under which upstreams crashed.
+	// Crashes reports changes of the sender's records of requests under which upstreams crashed.
 	Crashes *quarantine.Update `json:"crashes,omitempty"`
-	// LeavingUpstreams are upstreams that leave, as their answers told some box, and that the sender's list does not
-	// yet show as leaving. A box of the previous version ignores them.
+	// LeavingUpstreams are upstreams that announced in an answer to some box that they are leaving, and that the
+	// sender's list does not yet show as leaving. A box of the previous version ignores them.
 	LeavingUpstreams []string `json:"leavingUpstreams,omitempty"`
-	// Limits are changes of limits that upstreams reported, and ends of limits.
+	// Limits reports limits that upstreams set or changed, and limits that ended.
 	Limits []fleet.LimitReport `json:"limits,omitempty"`
 	// Pieces means that the sender fetches large records and packed sync answers in pieces. A box of a version that
 	// does not is sent them whole.
@@ -172,7 +173,7 @@
 	residency.Want
 }
 
-// ensureAnswer tells where the adapter or model is, or when it will be there. Error is why it is not provided.
+// ensureAnswer states where the adapter or model is, or when it will be there. Error is why it is not provided.
 type ensureAnswer struct {
 	residency.EnsureResult
 	Error string `json:"error,omitempty"`
--- a/internal/cluster/pacer.go
+++ b/internal/cluster/pacer.go
@@ -17,8 +17,8 @@
 	// than the bytes. The loads of 140 upstreams take 8 KB, those of 600 take 33 KB.
 	packedActivityBytes = 16 << 10
 	// minTurnPercent is the minimum time between two sends of activity to one box, in percent of an equal turn: the
-	// time in which all receivers can be sent activity once. Boxes call at times of their own, so that one may use
-	// what another leaves.
+	// time in which all receivers can be sent activity once. Boxes call at different times, so that a box may use
+	// time that another one leaves unused.
 	minTurnPercent = 75
 	// maxBacklogTime bounds the activity still in transmission when more is sent, as time at the activity's share of
 	// the link. It allows a box that calls all others at once to send to all of them, and a change waits no longer
--- a/internal/cluster/quotas.go
+++ b/internal/cluster/quotas.go
@@ -23,20 +23,20 @@
 
 // Ask sends a request to the keeper of an account, which may be this box. The error is errKeeperLost or that of the
 // call.
-func (q *Quotas) Ask(ctx context.Context, ask customers.SpendRequest) (customers.Grant, error) {
-	keeper := q.keeperOf(ask)
+func (q *Quotas) Ask(ctx context.Context, request customers.SpendRequest) (customers.Grant, error) {
+	keeper := q.keeperOf(request)
 	if keeper.Name == q.Members.self.Name {
-		return q.answer(ctx, ask)
+		return q.answer(ctx, request)
 	}
 	call := keeperCall{Members: q.Members, Client: q.Client, Log: q.Log, Method: methodSpend, Keeper: keeper}
-	return callKeeper[customers.Grant](ctx, call, ask)
+	return callKeeper[customers.Grant](ctx, call, request)
 }
 
 // keeperOf returns the keeper of the account that the request is for.
-func (q *Quotas) keeperOf(ask customers.SpendRequest) Box {
-	switch ask.Scope {
+func (q *Quotas) keeperOf(request customers.SpendRequest) Box {
+	switch request.Scope {
 	case customers.FleetScope:
-		return q.Members.keeperOf(ask.Customer)
+		return q.Members.keeperOf(request.Customer)
 	case customers.HallScope:
 		return q.Members.hallKeeper()
 	}
@@ -44,9 +44,9 @@
 }
 
 // answer spends from an account that this box keeps.
-func (q *Quotas) answer(_ context.Context, ask customers.SpendRequest) (customers.Grant, error) {
+func (q *Quotas) answer(_ context.Context, request customers.SpendRequest) (customers.Grant, error) {
 	now := time.Now()
-	return q.Keeper.Spend(ask, q.share(ask.Scope, now), now), nil
+	return q.Keeper.Spend(request, q.share(request.Scope, now), now), nil
 }
 
 // share returns the share of a customer's limit that an account of a scope holds at this box.
--- a/internal/cluster/rates.go
+++ b/internal/cluster/rates.go
@@ -14,8 +14,8 @@
 // rateTimeout bounds a call for a request to a rate-limited upstream, because the request's caller waits for it.
 const rateTimeout = 100 * time.Millisecond
 
-// RateGrants requests grants for rate-limited upstreams from their keepers, and answers for the upstreams that this box
-// keeps.
+// RateGrants requests grants for rate-limited upstreams from their keepers, and answers for the upstreams that this
+// box is the keeper of.
 type RateGrants struct {
 	Members   *Members
 	Client    *peer.Client
@@ -30,14 +30,14 @@
 // Ask requests a grant from the keeper of an upstream, which may be this box. If the keeper does not answer, the
 // hall's relay grants from the hall's share of the limit. A cold engine, which is cold for some seconds only, then
 // gets nothing from this box. The error is errKeeperLost or that of the call.
-func (r *RateGrants) Ask(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
-	if reports := r.Directory.LimitReports([]string{ask.Engine}); len(reports) > 0 {
-		ask.Limit = &reports[0]
+func (r *RateGrants) Ask(ctx context.Context, request dispatch.RateRequest) (dispatch.RateGrant, error) {
+	if reports := r.Directory.LimitReports([]string{request.Engine}); len(reports) > 0 {
+		request.Limit = &reports[0]
 	}
-	grant, err := r.askBox(ctx, r.Members.keeperOf(ask.Engine), ask)
-	if err != nil && ask.ColdPerSecond == 0 {
-		ask.Hall = true
-		grant, err = r.askBox(ctx, r.Members.hallKeeper(), ask)
+	grant, err := r.askBox(ctx, r.Members.keeperOf(request.Engine), request)
+	if err != nil && request.ColdPerSecond == 0 {
+		request.Hall = true
+		grant, err = r.askBox(ctx, r.Members.hallKeeper(), request)
 	}
 	if err == nil && grant.Limit != nil {
 		r.Directory.ApplyLimitReports([]fleet.LimitReport{*grant.Limit})
@@ -45,26 +45,26 @@
 	return grant, err
 }
 
-func (r *RateGrants) askBox(ctx context.Context, keeper Box, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
+func (r *RateGrants) askBox(ctx context.Context, keeper Box, request dispatch.RateRequest) (dispatch.RateGrant, error) {
 	if keeper.Name == r.Members.self.Name {
-		return r.answer(ctx, ask)
+		return r.answer(ctx, request)
 	}
 	call := keeperCall{Members: r.Members, Client: r.Client, Log: r.Log, Method: methodRate, Keeper: keeper, Timeout: rateTimeout}
-	return callKeeper[dispatch.RateGrant](ctx, call, ask)
+	return callKeeper[dispatch.RateGrant](ctx, call, request)
 }
 
 // answer grants a request from an account that this box keeps, by the latest limit of the upstream that either box
 // knows.
-func (r *RateGrants) answer(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
-	if ask.Limit != nil {
-		r.Directory.ApplyLimitReports([]fleet.LimitReport{*ask.Limit})
+func (r *RateGrants) answer(_ context.Context, request dispatch.RateRequest) (dispatch.RateGrant, error) {
+	if request.Limit != nil {
+		r.Directory.ApplyLimitReports([]fleet.LimitReport{*request.Limit})
 	}
-	known := r.Directory.LimitReports([]string{ask.Engine})
+	known := r.Directory.LimitReports([]string{request.Engine})
 	if len(known) > 0 {
-		ask.Limit = &known[0]
+		request.Limit = &known[0]
 	}
 	now := time.Now()
-	grant := r.Kept.Take(ask, r.share(ask, now), now)
+	grant := r.Kept.Take(request, r.share(request, now), now)
 	if len(known) > 0 {
 		grant.Limit = &known[0]
 	}
@@ -72,8 +72,8 @@
 }
 
 // share returns the share of all boxes that an account is for.
-func (r *RateGrants) share(ask dispatch.RateRequest, now time.Time) float64 {
-	if ask.Hall {
+func (r *RateGrants) share(request dispatch.RateRequest, now time.Time) float64 {
+	if request.Hall {
 		return r.Members.hallShare(now)
 	}
 	return r.Members.reachableShare(now)
--- a/internal/cluster/reservations.go
+++ b/internal/cluster/reservations.go
@@ -36,20 +36,20 @@
 // Where all boxes exchange with each other, loads are 0.08 s old on average, and waiting for a reservation costs as
 // much as it gains: the mean change of worth in three such fleets was -0.007, over nine days each with and without.
 // Through relays, loads are 0.25 to 0.65 s old, and reservations gained 0.016 in four runs.
-func (r *Reservations) Reserve(ctx context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error) {
+func (r *Reservations) Reserve(ctx context.Context, reservation dispatch.Reservation) (dispatch.ReservationAnswer, error) {
 	if !r.Members.Large() {
 		return dispatch.ReservationAnswer{}, errFreshLoads
 	}
-	keeper := r.Members.keeperOf(asked.Engine)
+	keeper := r.Members.keeperOf(reservation.Engine)
 	if keeper.Name == r.Members.self.Name {
-		return r.answer(ctx, asked)
+		return r.answer(ctx, reservation)
 	}
 	call := keeperCall{
 		Members: r.Members, Client: r.Client, Log: r.Log, Method: methodReserve, Keeper: keeper, Timeout: reserveTimeout,
 	}
-	return callKeeper[dispatch.ReservationAnswer](ctx, call, asked)
+	return callKeeper[dispatch.ReservationAnswer](ctx, call, reservation)
 }
 
-func (r *Reservations) answer(_ context.Context, asked dispatch.Reservation) (dispatch.ReservationAnswer, error) {
-	return r.Kept.Reserve(asked, time.Now()), nil
+func (r *Reservations) answer(_ context.Context, reservation dispatch.Reservation) (dispatch.ReservationAnswer, error) {
+	return r.Kept.Reserve(reservation, time.Now()), nil
 }
--- a/internal/cluster/shareddelta_test.go
+++ b/internal/cluster/shareddelta_test.go
@@ -17,9 +17,9 @@
 	"ospreymoor.example/ospreymoor/pkg/spectest"
 )
 
-// Guards against packing newer state anew for each box. After a start of the whole fleet, a relay packed a delta for
-// each of its 164 boxes and cached only 16 of them. Boxes logged "the box does not have this content". Packing used
-// up the relay's processor time, so that its own calls timed out ("peer lost").
+// Guards against packing newer state separately for each box. After a start of the whole fleet, a relay packed a
+// delta for each of its 164 boxes and cached only 16 of them. Boxes logged "the box does not have this content".
+// Packing used up the relay's processor time, so that its own calls timed out ("peer lost").
 var _ = Describe("newer state for many boxes that follow one relay", func() {
 	// relay returns the exchange of a relay whose store has 2000 records, and a function that changes 200 of them.
 	relay := func() (e *Exchange, change func()) {
--- a/internal/cluster/sync_codec.go
+++ b/internal/cluster/sync_codec.go
@@ -75,11 +75,11 @@
 		return syncAnswer{}, errors.WithType(err, errBadBlob)
 	}
 	r := &syncReader{reader: bufio.NewReader(io.LimitReader(decompressor, maxBlobBytes))}
-	form, text := r.bytes(), r.bytes()
+	format, text := r.bytes(), r.bytes()
 	var answer syncAnswer
 	switch {
 	case r.err != nil:
-	case len(form) != 1 || form[0] != syncFormat:
+	case len(format) != 1 || format[0] != syncFormat:
 		r.err = errors.New("unknown format")
 	default:
 		r.err = json.Unmarshal(text, &answer)
