--- a/internal/orderlease/handover.go
+++ b/internal/orderlease/handover.go
@@ -45,7 +45,8 @@
 	log       *zap.Logger
 
 	mu sync.Mutex
-	// term is the one held, 0 if none. ordersAllowed reports whether orders may be given under it, after waitEnds.
+	// term is the term that this box holds, 0 if none. ordersAllowed reports whether orders may be given under it,
+	// after waitEnds.
 	term          int64
 	ordersAllowed bool
 	waitEnds      waitEnds
@@ -111,8 +112,8 @@
 	}
 }
 
-// tryTakeover takes over if it is known from when each engine may be given orders, and reports whether it did. After
-// an error of the store it is called again; that the store is unreachable is logged by its mirror.
+// tryTakeover takes over if it is known from when each engine may be given orders, and reports whether it did. It
+// returns false after an error of the store, and run calls it again. pkg/mirror logs that the store is unreachable.
 func (h *handover) tryTakeover(ctx context.Context, term int64, gained time.Time) bool {
 	record, err := h.store.Get(ctx, h.key)
 	if err != nil && !errors.Is(err, kv.ErrNotFound) {
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -68,7 +68,7 @@
 	ReachesStore func() (address string, ok bool)
 	// StoreLostByAll reports whether no known box, this one included, reaches the store.
 	StoreLostByAll func() bool
-	// Listed reports whether the store has listed this box since it started, as far as is known.
+	// Listed reports whether the store is known to have listed this box since it started.
 	Listed func() bool
 	// FollowsRelay reports whether this box gets the updates of a large fleet from a relay.
 	FollowsRelay func() bool
