--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -31,8 +31,8 @@
 	renewalsPerTTL = 3
 	// marginDivisor gives the margin as TTL / marginDivisor if Config.Margin is 0.
 	marginDivisor = 3
-	// jitterDivisor limits the jitter: at most the pause between two steps of Run divided by it is added to the
-	// pause. The jitter keeps contenders from calling the store at the same time.
+	// jitterDivisor gives the longest jitter: the pause between two steps of Run, divided by it. The jitter is random
+	// and added to the pause. It keeps contenders from calling the store at the same time.
 	jitterDivisor = 4
 	// overdueRenewalTTLs is for how many TTLs a holder goes on renewing after it had to stop acting: a store that
 	// was unavailable may give the lease its full TTL again.
@@ -50,8 +50,8 @@
 	TTL time.Duration
 	// Margin is how long before the end of the TTL the holder stops acting; 0 means a third of TTL.
 	Margin time.Duration
-	// Candidate reports whether this process should hold the lease. A process that should not does not contend, and
-	// releases a lease that it holds at the next renewal. nil means always.
+	// Candidate reports whether this process should hold the lease. While it returns false, the process does not
+	// contend, and releases a lease that it holds at the next renewal. nil means always.
 	Candidate func() bool
 	// MayBeFree reports whether a contender should ask the store for the lease. It returns false, for example, if a
 	// copy of the store shows that another process holds the lease. nil means always.
@@ -128,8 +128,8 @@
 }
 
 // Status returns the lease that is held, even if the time to act is over but the store has not confirmed the loss. A
-// holder may act under its term only if no other process can have gained the lease, as while no box reaches the
-// store. LastRenewal shows for how long renewals have been failing.
+// holder may act under its term only if no other process can have gained the lease, for example while no box reaches
+// the store. LastRenewal shows for how long renewals have been failing.
 func (l *Lease) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
