--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 	"ospreymoor.example/ospreymoor/pkg/quarantine"
 )
 
-// afterCrash returns a register that knows of one crash with so many requests in flight.
+// afterCrash returns a register with the records of one crash at which so many requests were in flight.
 func afterCrash(requests int) *quarantine.Register {
 	r := quarantine.NewRegister(quarantine.DefaultPolicy)
 	at := time.Now()
--- a/pkg/quarantine/policy.go
+++ b/pkg/quarantine/policy.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Policy says how long a request is held after upstreams crashed under it in a row, that is, without a complete
+// Policy defines how long a request is held after upstreams crashed under it in a row, that is, without a complete
 // answer in between.
 type Policy struct {
 	// PauseAfter is the number of crashes from which on the request is held for Pause after the latest crash.
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -132,8 +132,8 @@
 // Register holds one box's records of requests under which upstreams crashed. It is safe for concurrent use.
 type Register struct {
 	Policy Policy
-	// OnHeld is called each time that the crash count of a request rises, also by Restore, and it is held. It is called
-	// with the register locked, so it must not call the register. nil is not called.
+	// OnHeld is called each time that the crash count of a request rises to Policy.PauseAfter or more, also by
+	// Restore. It is called with the register locked, so it must not call the register. nil is not called.
 	OnHeld func(Fingerprint, Verdict)
 	// OnChanged is called when this box has a new crash to report to others. It is called with the register locked, so
 	// it must not call the register. nil is not called.
@@ -192,7 +192,8 @@
 	return true
 }
 
-// reportHeld calls OnHeld if a request's crash count rose above before and it is held. The caller holds the lock.
+// reportHeld calls OnHeld if a request's crash count is above before and at least Policy.PauseAfter. The caller holds
+// the lock.
 func (r *Register) reportHeld(f Fingerprint, rec *record, before int) {
 	if r.OnHeld != nil && rec.crashCount() > before && rec.crashCount() >= r.Policy.PauseAfter {
 		r.OnHeld(f, rec.verdict(&r.Policy, time.Now()))
--- a/pkg/quarantine/verdict.go
+++ b/pkg/quarantine/verdict.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Verdict says whether a request is held, and by which crashes. The zero value means that no crash is known.
+// Verdict reports whether a request is held, and because of which crashes. The zero value means that no crash is
+// known.
 type Verdict struct {
 	// Held reports whether the request is sent to no upstream until RetryAfter has passed.
 	Held       bool
