--- a/pkg/claims/claims.go
+++ b/pkg/claims/claims.go
@@ -1,9 +1,9 @@
 // Package claims makes sure that a request which may not be repeated is sent to an upstream at most once.
 //
 // Before such a request is sent, its key is claimed by compare-and-swap in the key-value store, together with the
-// upstream that was chosen. A request whose key is claimed is never sent again. Claims are kept for a window. A key
-// carries its time (UUIDv7), and a key from before the window is refused, so that a deleted claim never leads to a
-// second run. The package owns the claims and deletes old ones; it relies on pkg/kv.
+// upstream that was chosen. A request whose key is claimed is never sent again. Claims are kept for a window of time
+// at least. A key carries its time (UUIDv7), and a key from before the window is refused, so that a deleted claim
+// never leads to a second run. The package owns the claims and deletes old ones; it relies on pkg/kv.
 //
 // `ospreymoor serve`, the native mode, uses it. For `ospreymoor node` the users' platform has no claims:
 // internal/gateway sends such a request once and repeats it only if it was certainly not run.
@@ -53,11 +53,10 @@
 	Box string `json:"b"`
 }
 
-// Config says where and for how long claims are kept.
+// Config defines where and for how long claims are kept.
 type Config struct {
 	Store kv.Store
-	// Window is for how long after its time a key is accepted, and for how long its claim is kept at least; 0 means an
-	// hour.
+	// Window is how long after its time a key is accepted. Its claim is kept at least as long. 0 means an hour.
 	Window time.Duration
 }
 
