--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,13 +1,13 @@
 // Package membership holds a box's view of which boxes and upstreams exist.
 //
 // The view combines two sources: the platform's box list, which lags, and heartbeats and answers
-// received directly. A box or upstream that is leaving according to either source gets nothing new.
+// received directly. A box or upstream that is leaving according to either source is sent nothing new.
 // The package owns the view and the ranking of boxes; it relies only on its caller, which passes in
 // the lists, heartbeats and announcements.
 //
 // It belongs to the native mode, `ospreymoor serve`, where every box sends heartbeats to its whole
-// hall. The peers of `ospreymoor node` (internal/gateway) exchange load summaries with a few partners
-// instead, and a box counts as a member while the store lists it or its exchanges continue.
+// hall. The boxes of `ospreymoor node` (internal/cluster) exchange load summaries instead, in large
+// fleets through relays, and a box counts as a member while the store lists it or its exchanges continue.
 package membership
 
 import (
@@ -59,7 +59,7 @@
 	Hall        string `json:"hall"`
 	Address     string `json:"address"`
 	Leaving     bool   `json:"leaving,omitempty"`
-	// Store is true if the peer reaches the key-value service.
+	// Store is true if the peer reaches the key-value store.
 	Store bool `json:"store,omitempty"`
 }
 
@@ -161,7 +161,7 @@
 	return ids
 }
 
-// Upstreams returns the boxes of a kind, with Leaving set if either source says that the box is leaving.
+// Upstreams returns the boxes of a kind, with Leaving set if the box is leaving according to either source.
 func (v *View) Upstreams(kind Kind) []Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
