--- a/internal/cluster/keepers.go
+++ b/internal/cluster/keepers.go
@@ -11,10 +11,11 @@
 // waits for customers.Spender's timeout in vain.
 const keeperRetryDelay = time.Second
 
-// keeperOf returns the box, possibly this one, that keeps a customer's quota or an engine's reservations for all
-// boxes. All boxes agree on it without communication while they have the same list from the store. When a box comes
-// or goes, only the names that it keeps get another keeper. A box with twice the processor time keeps twice as many
-// names. A box that the store does not list yet keeps none while it knows others, because these do not know of it.
+// keeperOf returns the box, possibly this one, that keeps an account for all boxes. name is the customer whose quota
+// it is, or the upstream whose reservations or rate limit it is. All boxes agree on the keeper without communication
+// while they have the same list from the store. When a box is added or removed, only the names that it keeps get
+// another keeper. A box with twice the processor time keeps twice as many names. A box that the store does not list
+// yet keeps none while it knows others, because these do not know it yet.
 func (m *Members) keeperOf(name string) Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
