--- a/internal/gateway/provision.go
+++ b/internal/gateway/provision.go
@@ -57,7 +57,7 @@
 
 // ensure asks the order holder to load the model or adapter, and returns how long to wait, at most left. Once the
 // order holder has stated when the load ends, the request may wait for it. If the order holder cannot be reached,
-// Ready is 0 and it is asked again until no time is left.
+// ReadyIn is 0 and it is asked again until no time is left.
 func (r *inflight) ensure(ctx context.Context, lacking reason, left time.Duration) (time.Duration, *refusal) {
 	askCtx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,8 @@
 	LinkBytesPerSecond float64
 	// PeerAddress is the address at which other boxes call this one, as IP:PORT.
 	PeerAddress string
-	// Seeds are the peer addresses to ask if the store is unreachable at the start.
+	// Seeds are the peer addresses that are asked for a first copy of the store, which may be unreachable at the
+	// start, or too large for each box to read whole.
 	Seeds      []string
 	PeerSecret string
 	Upstreams  gateway.Upstreams
--- a/internal/node/small_boxes_test.go
+++ b/internal/node/small_boxes_test.go
@@ -39,7 +39,7 @@
 }
 
 // raceDetector is set if the specs run with the race detector. They run with raceSize then, since the race detector's
-// runtime itself failed once at their full size (docs/FINDINGS.md, open 13). CI runs them at full size without it.
+// runtime itself failed once at their full size. CI runs them at full size without it.
 var raceDetector bool
 
 // raceSize is the size of a small fleet that still has relays.
--- a/internal/node/store_calls_test.go
+++ b/internal/node/store_calls_test.go
@@ -78,8 +78,8 @@
 }
 
 // storeCallsSize is the specs' fleet, and changeTime is how long upstreams change. Under the race detector both are
-// as small as relays allow, since its runtime itself fails the sooner the more it tracks (docs/FINDINGS.md, open
-// 13). CI runs the specs in full without it.
+// as small as relays allow, since its runtime itself fails the sooner the more it tracks. CI runs the specs in full
+// without it.
 var storeCallsSize, changeTime = smallFleetSize{boxes: 86, halls: 4, upstreams: 64}, 6 * time.Second
 
 var _ = Describe("the store of a large fleet", func() {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -37,8 +37,8 @@
 	return call[A](ctx, c, address, method, params, c.drop)
 }
 
-// CallKeepingConn is Call with a ctx that may end before a healthy connection delivers the answer: a call that fails after its
-// ctx has ended leaves the connection open for the other calls on it.
+// CallKeepingConn is Call with a ctx that may end before a healthy connection delivers the answer: a call that fails
+// after its ctx has ended leaves the connection open for the other calls on it.
 func CallKeepingConn[A any](ctx context.Context, c *Client, address, method string, params any) (A, error) {
 	return call[A](ctx, c, address, method, params, func(address string, conn *jsonrpc2.Conn, err error) {
 		if ctx.Err() == nil {
--- a/internal/storeview/quarantine.go
+++ b/internal/storeview/quarantine.go
@@ -33,7 +33,7 @@
 	maxHoldTTL = 10 * time.Minute
 	// minRemainingHold is how long a request must still be held to be worth recording.
 	minRemainingHold = 5 * time.Second
-	// holdWriteTimeout bounds one call of the store.
+	// holdWriteTimeout bounds the calls that write one record: the grant of its lease and the swap together.
 	holdWriteTimeout = 2 * time.Second
 )
 
@@ -44,8 +44,8 @@
 	Quarantine *quarantine.Register
 	// Records returns this box's copy of the store.
 	Records func() mirror.State
-	// IsResponsible reports whether this box is responsible for recording a request. Boxes that saw a crash under the request
-	// record it only after witnessDelay.
+	// IsResponsible reports whether this box is responsible for recording a request. Boxes that saw a crash under the
+	// request record it only after witnessDelay.
 	IsResponsible func(request string) bool
 	Log           *zap.Logger
 
--- a/pkg/burn/burn.go
+++ b/pkg/burn/burn.go
@@ -6,8 +6,8 @@
 // even after the box is gone. The package owns the counts and the arithmetic; internal/box decides
 // which requests are late and sends snapshots to other boxes.
 //
-// It belongs to the native mode, `ospreymoor serve`. `ospreymoor node` has no burn report; its
-// metrics count requests by outcome instead.
+// It belongs to the native mode, `ospreymoor serve`. `ospreymoor node` has no burn report of its own; its
+// metrics count requests by outcome, and `ospreymoor report requests` computes the budgets from its logs.
 package burn
 
 import (
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -17,7 +17,7 @@
 // is dropped.
 const maxIncarnations = 64
 
-// NewSnapshotStore returns an empty keeper.
+// NewSnapshotStore returns an empty store.
 func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{snapshots: map[string]Snapshot{}} }
 
 // Keep stores a snapshot if it is the latest of its incarnation.
--- a/pkg/customers/doc.go
+++ b/pkg/customers/doc.go
@@ -3,7 +3,7 @@
 // A Directory holds the customers of one version of the configuration and finds the customer of a key. It is
 // immutable. A Keeper holds what customers may still spend, on behalf of many boxes. A Spender is a box's client
 // of the keepers; it tells whether a request is within its customer's quota. How boxes reach each other, and
-// which box keeps which quota, is behind the Spender's Ask function, which internal/cluster provides.
+// which box keeps which quota, is behind the Spender's AskKeeper function, which internal/cluster provides.
 //
 // Keys are stored as digests only. No key appears in an error, a log line or a metric.
 //
--- a/pkg/customers/keeper.go
+++ b/pkg/customers/keeper.go
@@ -28,7 +28,7 @@
 	scope    Scope
 }
 
-// NewSnapshotStore returns a keeper without accounts.
+// NewKeeper returns a keeper without accounts.
 func NewKeeper(tolerance Tolerance) *Keeper {
 	return &Keeper{Tolerance: tolerance, Random: rand.Float64, accounts: map[accountKey]*account{}}
 }
--- a/pkg/customers/quota.go
+++ b/pkg/customers/quota.go
@@ -46,7 +46,7 @@
 // Never is the wait of a request that is too expensive for its customer's limit at any time.
 const Never time.Duration = -1
 
-// Grant is the response to an Ask.
+// Grant is the response to a SpendRequest.
 type Grant struct {
 	// Waits holds, for each cost, the time after which it will probably be granted: 0 if it is granted now, or
 	// Never.
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -13,7 +13,7 @@
 //
 //	notice   begins                          binds                    ends
 //	leaving  with the answer that stated it  every box that knows it  with that incarnation; no list revokes it
-//	rest     with the answer that asked      this box                 after the time it asked for; see backoff
+//	backoff  with the answer that asked      this box                 after the time it asked for; see backoff
 //	limit    with the answer that named it   every box that knows it  with an answer that names none; see Limit
 
 // Notice is what the head of one answer states about the upstream's process, apart from the answer
@@ -24,14 +24,14 @@
 	// Backoff is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
 	// asked for none.
 	Backoff time.Duration
-	// Cold is how long the upstream stays cold; 0 if it did not say so.
+	// Cold is how long the upstream stays cold; 0 if the answer does not state it.
 	Cold time.Duration
 	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
 	// no limit.
 	Limit *float64
 	// Unlimited means that the answer names no limit, and belongs to the request that was sent.
 	Unlimited bool
-	// Unreadable is a value that could not be parsed, which Note shortens; empty if all values could.
+	// Unreadable is a value that could not be parsed, which RecordNotice shortens; empty if all values could.
 	Unreadable string
 	// Source is what the answer was to, or SourceBox if another box reported the notice.
 	Source Source
--- a/pkg/fleet/upstream.go
+++ b/pkg/fleet/upstream.go
@@ -16,7 +16,7 @@
 	// Leaving means that the process is about to end; nothing new is sent to it.
 	Leaving bool
 	// EndsAfter is the time from the write of a leaving upstream's entry to the end of its process; 0 if
-	// it gave none.
+	// the entry states none.
 	EndsAfter time.Duration
 	// Cold is how long an engine stays cold after its entry was written; 0 if it is not cold.
 	Cold time.Duration
--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -16,8 +16,8 @@
 	Changed []kv.Record `json:"changed,omitempty"`
 	// Large names the changed records whose values the delta does not carry; see ApplyLarge.
 	Large []LargeRecord `json:"large,omitempty"`
-	// Removed are the keys that were removed, if these are known. If not, Whole is set, and Keys are all keys that
-	// exist.
+	// Removed are the keys that were removed, if these are known. If not, HasAllKeys is set, and Keys are all keys
+	// that exist.
 	Removed    []string `json:"removed,omitempty"`
 	HasAllKeys bool     `json:"whole,omitempty"`
 	Keys       []string `json:"keys,omitempty"`
--- a/pkg/mirror/follow.go
+++ b/pkg/mirror/follow.go
@@ -154,9 +154,9 @@
 	return awaiting && m.MayAwaitCopy != nil && m.MayAwaitCopy()
 }
 
-// pollAfter returns a kv.WatchOptions.Next that lets the watch poll again only after a value arrives on nextPoll. A poll
-// that is under way while changes are gathered is answered with the first change alone, and is wasted if the mirror
-// pauses.
+// pollAfter returns a kv.WatchOptions.Next that lets the watch poll again only after a value arrives on nextPoll. A
+// poll that is under way while changes are gathered is answered with the first change alone, and is wasted if the
+// mirror pauses.
 func (m *Mirror) pollAfter(nextPoll <-chan struct{}) func(context.Context) (time.Duration, bool) {
 	first := true
 	return func(ctx context.Context) (time.Duration, bool) {
