--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -68,13 +68,14 @@
 	})
 }
 
-// exists reports whether the store has a key, as far as this copy knows. The caller holds the lock.
+// exists reports whether this copy has a record of a key, or a delta named one that it lacks. The caller holds the
+// lock.
 func (m *Mirror) exists(key string) bool {
 	_, found := m.state.Records.Get(key)
 	return found || m.missing.has(key)
 }
 
-// keys returns all keys of the store, as far as this copy knows. The caller holds the lock.
+// keys returns the keys of the records that this copy has, and of those that it lacks. The caller holds the lock.
 func (m *Mirror) keys() []string {
 	keys := make([]string, 0, m.state.Records.Len())
 	for key := range m.state.Records.All() {
--- a/pkg/mirror/follow.go
+++ b/pkg/mirror/follow.go
@@ -59,8 +59,8 @@
 }
 
 // follow applies changes until a call fails, the watch ends or the mirror should pause. If the state is complete, no
-// change before its revision was missed: follow reads the records that the copy lacks and watches on from the
-// revision. If not, it reads a snapshot first. It reports whether the state is complete at the end.
+// change before its revision was missed: follow reads the records that the copy lacks and watches the store from the
+// revision on. If not, it reads a snapshot first. It reports whether the state is complete at the end.
 func (m *Mirror) follow(ctx context.Context, complete bool) bool {
 	m.mu.Lock()
 	m.connection.lastAttempt = time.Now()
@@ -84,7 +84,7 @@
 		}
 	}
 	// Deltas of other boxes may have changed the state meanwhile, or named large records that were changed before the
-	// watch starts, and that it does not bring.
+	// watch starts, and that it does not send.
 	from := m.State().Revision
 	if !m.readMissing(ctx) {
 		return false
@@ -236,8 +236,8 @@
 	m.replaceAll(snapshot.Revision, FromSnapshot, records, previousCurrentAt)
 }
 
-// fillMissing takes the records that this copy lacks from an older snapshot, as far as the snapshot has them. The
-// caller holds the lock.
+// fillMissing takes records that this copy lacks from a snapshot that is older than the copy. It takes those that the
+// snapshot has at the missing revision or a later one. The caller holds the lock.
 func (m *Mirror) fillMissing(records map[string]kv.Record) {
 	if len(m.missing.revisions) == 0 {
 		return
