--- a/internal/storeview/quarantine_test.go
+++ b/internal/storeview/quarantine_test.go
@@ -22,7 +22,7 @@
 	request := content.Fingerprint()
 	key := "own/quarantine/" + request.String()
 	// recorder returns a recorder on a store in memory, with a copy that is always current, and the store.
-	recorder := func(keeps bool) (*HoldRecorder, kv.Store) {
+	recorder := func(responsible bool) (*HoldRecorder, kv.Store) {
 		store := kv.NewMemory().Store()
 		return &HoldRecorder{
 			Platform: Platform{Store: store, OwnPrefix: "own/"}, Quarantine: quarantine.NewRegister(quarantine.DefaultPolicy),
@@ -31,7 +31,7 @@
 				Expect(err).NotTo(HaveOccurred())
 				return mirror.State{Records: mirrortest.Records(snapshot.Records...)}
 			},
-			IsResponsible: func(string) bool { return keeps },
+			IsResponsible: func(string) bool { return responsible },
 			Log:           zap.NewNop(),
 		}, store
 	}
@@ -76,7 +76,7 @@
 		})
 	})
 
-	It("are written by a box that saw a crash if the one that keeps them does not", func() {
+	It("are written by a box that saw a crash if the responsible box does not write them", func() {
 		spectest.Bubble(func() {
 			h, store := recorder(false)
 			running(h, func() {
--- a/internal/storeview/upstreams.go
+++ b/internal/storeview/upstreams.go
@@ -91,14 +91,14 @@
 }
 
 // allow counts a change of a kind, and reports whether it may have a log line of its own.
-func (b *logLimit) allow(kind fleet.ChangeKind, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.windowStart) >= namedChangesWindow {
-		b.windowStart, b.counts = now, map[fleet.ChangeKind]int{}
+func (l *logLimit) allow(kind fleet.ChangeKind, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Sub(l.windowStart) >= namedChangesWindow {
+		l.windowStart, l.counts = now, map[fleet.ChangeKind]int{}
 	}
-	b.counts[kind]++
-	return b.counts[kind] <= maxNamedChanges
+	l.counts[kind]++
+	return l.counts[kind] <= maxNamedChanges
 }
 
 func (v *View) logChange(change fleet.Change, revision int64) {
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -32,8 +32,8 @@
 	SetTable func(*routes.Table) bool
 	// Forget is called with the id of each upstream that is removed from the directory.
 	Forget func(upstream string)
-	// ReadsFullStore means that this box reads the whole store when it starts, so that other boxes can ask it for a first
-	// copy.
+	// ReadsFullStore means that this box reads the whole store when it starts, so that other boxes can ask it for a
+	// first copy.
 	ReadsFullStore bool
 	// Metrics counts entries that name no usable upstream; nil counts none.
 	Metrics *metrics.Set
