--- a/pkg/kv/kv.go
+++ b/pkg/kv/kv.go
@@ -115,10 +115,10 @@
 	List func(ctx context.Context, prefix string) ([]Record, error)
 	// Snapshot reads all keys that begin with prefix, in key order, and the revision that they reflect.
 	Snapshot func(ctx context.Context, prefix string) (Snapshot, error)
-	// SnapshotWithin is a Snapshot that stops once it has more records than most: complete is false then, and the
+	// SnapshotWithin is a Snapshot that stops once it has more records than limit: complete is false then, and the
 	// records are the first ones. A service that answers in pages is not asked for the rest. It is nil where the
 	// service does not support it; callers then use Snapshot.
-	SnapshotWithin func(ctx context.Context, prefix string, most int) (snapshot Snapshot, complete bool, err error)
+	SnapshotWithin func(ctx context.Context, prefix string, limit int) (snapshot Snapshot, complete bool, err error)
 	// Swap changes one key and returns its new record. It returns ErrConflict if the key is at another
 	// revision and ErrTooLarge if the value exceeds MaxValueBytes.
 	Swap func(ctx context.Context, swap Swap) (Record, error)
