--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -4,5 +4,6 @@
 // jsonrpc2 to match answers to calls; every call is bounded by the caller's context.
 //
 // Both modes use Client, Server, Call and Handle. The methods and messages in messages.go are those of the
-// native mode (`ospreymoor serve`, internal/box); `ospreymoor node` (internal/gateway) defines its own.
+// native mode (`ospreymoor serve`, internal/box). Those of `ospreymoor node` are in internal/cluster and
+// internal/orderlease.
 package peer
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -56,7 +56,7 @@
 	Wait time.Duration `json:"wait"`
 }
 
-// RunOutcome is the outcome of a claimed run, as far as the box that claimed it knows.
+// RunOutcome is the outcome of a claimed run, as the box that claimed it reports it.
 type RunOutcome string
 
 // The outcomes of a claimed run. The values are on the wire.
@@ -67,7 +67,7 @@
 	RunNotRun RunOutcome = "not run"
 	// RunRunning: it was claimed and has no outcome yet.
 	RunRunning RunOutcome = "running"
-	// RunDone: it has ended; a plain service's answer comes with it.
+	// RunDone: it has ended; for a plain service, the response has its answer.
 	RunDone RunOutcome = "done"
 )
 
