--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -17,7 +17,7 @@
 //
 //	ospreymoor node --settings FILE [flags]
 //
-// An order lease of 3 s tolerates the loss of its holder better than one of 5 s, and freezes less well
+// An order lease of 3 s tolerates the loss of its holder better than one of 5 s, but tolerates freezes less well
 // (docs/design/platform.md, "The order lease"). A load cost of 0.3 squared engine time keeps replicas from
 // moving with random changes of demand: the mean score over 18 simulated days was 0.547, 0.586, 0.597, 0.591
 // and 0.579 at load costs of 0.03, 0.1, 0.3, 0.6 and 1.2 (docs/rounds/01-placement.md). The score is the share
