--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -99,7 +99,7 @@
 	e.leaving = true
 }
 
-// Restart simulates a crash and restart: it stops all runs, clears what is known of runs, items, draining and
+// Restart simulates a crash and restart: it stops all runs, clears the state of runs, items, draining and
 // fencing, and starts a new incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
