--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -21,30 +21,30 @@
 func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{snapshots: map[string]Snapshot{}} }
 
 // Keep stores a snapshot if it is the latest of its incarnation.
-func (k *SnapshotStore) Keep(snapshot Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	old, ok := k.snapshots[snapshot.Incarnation]
+func (s *SnapshotStore) Keep(snapshot Snapshot) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old, ok := s.snapshots[snapshot.Incarnation]
 	if ok && old.Sequence >= snapshot.Sequence {
 		return
 	}
 	if !ok {
-		k.incarnations = append(k.incarnations, snapshot.Incarnation)
+		s.incarnations = append(s.incarnations, snapshot.Incarnation)
 	}
-	k.snapshots[snapshot.Incarnation] = snapshot
-	if len(k.incarnations) > maxIncarnations {
-		delete(k.snapshots, k.incarnations[0])
-		k.incarnations = k.incarnations[1:]
+	s.snapshots[snapshot.Incarnation] = snapshot
+	if len(s.incarnations) > maxIncarnations {
+		delete(s.snapshots, s.incarnations[0])
+		s.incarnations = s.incarnations[1:]
 	}
 }
 
 // Snapshots returns all stored snapshots, in the order in which their incarnations arrived.
-func (k *SnapshotStore) Snapshots() []Snapshot {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *SnapshotStore) Snapshots() []Snapshot {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var all []Snapshot
-	for _, incarnation := range k.incarnations {
-		all = append(all, k.snapshots[incarnation])
+	for _, incarnation := range s.incarnations {
+		all = append(all, s.snapshots[incarnation])
 	}
 	return all
 }
