--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -24,7 +24,7 @@
 	// Backoff is the backoff that the upstream asks of this box: how long it wants no requests; 0 if it
 	// asked for none.
 	Backoff time.Duration
-	// Cold is how long the upstream stays cold; 0 if it did not state a time.
+	// Cold is how long the upstream stays cold; 0 if the answer does not state it.
 	Cold time.Duration
 	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
 	// no limit.
