--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -36,7 +36,7 @@
 	alive, kill := context.WithCancel(context.Background())
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
-	n.engines[id] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingToldAt: map[int]time.Time{}, limitToldAt: map[int]time.Time{}}
+	n.engines[id] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingStatedAt: map[int]time.Time{}, limitStatedAt: map[int]time.Time{}}
 }
 
 // worstSecond returns the most requests that an engine got in any second until a time, and all that it got by then.
--- a/internal/node/crash_cuts_test.go
+++ b/internal/node/crash_cuts_test.go
@@ -89,11 +89,11 @@
 		}
 		return c.store.Grant(ctx, ttl)
 	}
-	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
+	store.Watch = func(ctx context.Context, options kv.WatchOptions) (<-chan []kv.Event, error) {
 		if err := storeError(); err != nil {
 			return nil, err
 		}
-		return pollingWatch(ctx, c.store, watching)
+		return pollingWatch(ctx, c.store, options)
 	}
 	return store
 }
--- a/internal/node/crash_fleet_test.go
+++ b/internal/node/crash_fleet_test.go
@@ -31,7 +31,7 @@
 	// eventGap is the time between two of the eventsPerAnswer events of an answer.
 	eventGap        = 100 * time.Millisecond
 	eventsPerAnswer = 12
-	// propagationTime is how long a change may take to reach every connected box.
+	// propagationTime is how long it may take until every connected box knows of a crash.
 	propagationTime = 3 * time.Second
 )
 
--- a/internal/node/large_change_test.go
+++ b/internal/node/large_change_test.go
@@ -14,7 +14,7 @@
 var largeChangeBoxes = flag.Int("large-change-boxes", 86, "how many boxes the specs of large changes run with at most")
 
 var _ = Describe("a large change", func() {
-	DescribeTable("is in force in time on small boxes and delays no change of an upstream that leaves",
+	DescribeTable("is in force in time on small boxes and does not delay the change of an upstream that leaves",
 		func(size smallFleetSize, routes int, leaving, inForce time.Duration) {
 			if size.boxes > *largeChangeBoxes {
 				Skip("more boxes than -large-change-boxes")
@@ -83,7 +83,7 @@
 				time.Sleep(8 * time.Second)
 			}
 			GinkgoWriter.Printf("after the store's return: leaving %s, in force %s\n", s.longestDelay("leaves"), s.longestDelay("version"))
-			// The required contactMs at the present size: 3 s after the store is back, boxes without trouble of their own
+			// The required contactMs at the present size: 3 s after the store is back, boxes with no fault of their own
 			// must be up to date again.
 			Expect(s.longestDelay("leaves")).To(BeNumerically("<=", 3*time.Second))
 			Expect(s.longestDelay("version")).To(BeNumerically("<=", 3*time.Second))
--- a/internal/node/limit_fleet_test.go
+++ b/internal/node/limit_fleet_test.go
@@ -15,10 +15,10 @@
 
 // Bounds that the platform sets for the requests that an engine with a limit gets.
 const (
-	// limitGrace is how long after its first answer with a limit the requests of a box begin to count. limitSettled is
-	// how long after an engine first states a limit its requests begin to be checked.
-	limitGrace   = 500 * time.Millisecond
-	limitSettled = 3 * time.Second
+	// limitGrace is how long after its first answer with a limit the requests of a box begin to count. limitSettleTime
+	// is how long after an engine first states a limit its requests begin to be checked.
+	limitGrace      = 500 * time.Millisecond
+	limitSettleTime = 3 * time.Second
 	// limitWindow is the time in which requests are counted. In it, limitOverage times the limit and limitSlack more
 	// requests are allowed.
 	limitWindow  = 4 * time.Second
@@ -34,8 +34,8 @@
 	}
 	limit := e.limits[len(e.limits)-1].perSecond
 	notice.Limit = &limit
-	if _, ok := e.limitToldAt[box]; !ok {
-		e.limitToldAt[box] = now
+	if _, ok := e.limitStatedAt[box]; !ok {
+		e.limitStatedAt[box] = now
 	}
 }
 
@@ -70,7 +70,7 @@
 	// exceededByAll counts the windows with more requests than allowed from all boxes.
 	exceededByAll int
 	// received counts the requests while the engines stated a limit, and uninformed those of them that came from boxes
-	// that no answer had told the limit yet.
+	// that had not received the limit in an answer yet.
 	received, uninformed int
 	// afterEnd counts the requests later than limitGrace after the end of a limit.
 	afterEnd int
@@ -111,18 +111,18 @@
 }
 
 func (e *noticeEngine) countLimit(count *limitCount, now time.Time, excused func(box int) bool) {
-	settled := e.limits[0].from.Add(limitSettled)
-	var ofTold, ofAll []time.Time
+	settled := e.limits[0].from.Add(limitSettleTime)
+	var ofInformed, ofAll []time.Time
 	for k, at := range e.allArrivals {
-		if _, named := e.highestLimit(at, at); !named {
+		if _, stated := e.highestLimit(at, at); !stated {
 			if at.Sub(e.limits[len(e.limits)-1].from) > limitGrace {
 				count.afterEnd++
 			}
 			continue
 		}
 		count.received++
-		told, isTold := e.limitToldAt[e.sentBy[k]]
-		if !isTold || !at.After(told) {
+		informedAt, informed := e.limitStatedAt[e.sentBy[k]]
+		if !informed || !at.After(informedAt) {
 			count.uninformed++
 		}
 		if at.Before(settled) || excused(e.sentBy[k]) {
@@ -132,11 +132,11 @@
 		if e.excess(ofAll) > 0 {
 			count.exceededByAll++
 		}
-		if !isTold || at.Sub(told) < limitGrace {
+		if !informed || at.Sub(informedAt) < limitGrace {
 			continue
 		}
-		ofTold = append(inWindow(ofTold, at), at)
-		if excess := e.excess(ofTold); excess > 0 {
+		ofInformed = append(inWindow(ofInformed, at), at)
+		if excess := e.excess(ofInformed); excess > 0 {
 			count.exceeded++
 			count.worstExcess = max(count.worstExcess, excess)
 		}
--- a/internal/node/limit_ways_test.go
+++ b/internal/node/limit_ways_test.go
@@ -17,10 +17,10 @@
 // limitWays selects the variants to compare. docs/design/notices.md has their results.
 var limitWays = flag.String("limit-ways", "", "compare ways to keep to limits that upstreams name: those whose row matches, by boxes, load and way")
 
-// limitVariant is one way to keep to limits.
+// limitVariant is one way to keep requests within the limits of engines.
 type limitVariant struct {
 	name string
-	// tune changes a box before it runs; nil leaves the way in use.
+	// tune changes a box before it runs; nil changes nothing.
 	tune func(n *noticeFleet, box *Node)
 	// ignoreNotices makes boxes ignore all notices of engines.
 	ignoreNotices bool
@@ -33,8 +33,8 @@
 func withoutLimitReports(_ *noticeFleet, box *Node) {
 	directory := box.Gateway.Directory
 	logged := directory.OnNotice
-	directory.OnNotice = func(noted fleet.NoticeEvent) {
-		logged(noted)
+	directory.OnNotice = func(event fleet.NoticeEvent) {
+		logged(event)
 		directory.TakeChangedLimits()
 	}
 }
@@ -43,13 +43,13 @@
 // may send.
 func ownAccounts(box *Node, share float64) askRateFunc {
 	accounts := dispatch.NewRateAccounts(coldTolerance)
-	return func(_ context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
-		reports := box.Gateway.Directory.LimitReports([]string{ask.Engine})
+	return func(_ context.Context, request dispatch.RateRequest) (dispatch.RateGrant, error) {
+		reports := box.Gateway.Directory.LimitReports([]string{request.Engine})
 		if len(reports) == 0 {
 			return dispatch.RateGrant{Granted: true}, nil
 		}
-		ask.Limit = &reports[0]
-		return accounts.Take(ask, share, time.Now()), nil
+		request.Limit = &reports[0]
+		return accounts.Take(request, share, time.Now()), nil
 	}
 }
 
@@ -78,14 +78,14 @@
 		if fallback != nil {
 			askFallback = fallback(n, box)
 		}
-		box.Gateway.AskRate = func(ctx context.Context, ask dispatch.RateRequest) (dispatch.RateGrant, error) {
+		box.Gateway.AskRate = func(ctx context.Context, request dispatch.RateRequest) (dispatch.RateGrant, error) {
 			switch {
-			case !n.keeperUnreachable(box, ask.Engine):
-				return askKeeper(ctx, ask)
+			case !n.keeperUnreachable(box, request.Engine):
+				return askKeeper(ctx, request)
 			case askFallback == nil:
 				return dispatch.RateGrant{}, errors.New("keeper is unreachable")
 			}
-			return askFallback(ctx, ask)
+			return askFallback(ctx, request)
 		}
 	}
 }
--- a/internal/node/new.go
+++ b/internal/node/new.go
@@ -92,18 +92,18 @@
 // newDirectory returns a directory that counts and logs the notices of upstreams.
 func newDirectory(config Config) *fleet.Directory {
 	directory := fleet.New()
-	directory.OnNotice = func(noted fleet.NoticeEvent) {
-		for _, kind := range noted.Kinds() {
-			config.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_upstream_notices_total{kind=%q,source=%q}", kind, noted.Source)).Inc()
+	directory.OnNotice = func(event fleet.NoticeEvent) {
+		for _, kind := range event.Kinds() {
+			config.Metrics.GetOrCreateCounter(fmt.Sprintf("ospreymoor_upstream_notices_total{kind=%q,source=%q}", kind, event.Source)).Inc()
 		}
 		config.Log.Info("upstream notice",
-			zap.String("backend", noted.Upstream),
-			zap.Strings("kinds", noted.Kinds()),
-			zap.Duration("rest", noted.Backoff),
-			zap.Float64p("limit", noted.Limit),
-			zap.String("unreadable", noted.Unreadable),
-			zap.String("source", string(noted.Source)),
-			zap.Int("status", noted.Status),
+			zap.String("backend", event.Upstream),
+			zap.Strings("kinds", event.Kinds()),
+			zap.Duration("rest", event.Backoff),
+			zap.Float64p("limit", event.Limit),
+			zap.String("unreadable", event.Unreadable),
+			zap.String("source", string(event.Source)),
+			zap.Int("status", event.Status),
 			zap.Int64("listRevision", directory.Revision()))
 	}
 	return directory
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -54,10 +54,10 @@
 	// sentInBackoff counts the requests from boxes that the engine had asked for a backoff that was not over. rejected
 	// counts all requests that an engine did not run. largestBurst is the most requests that one got within burstSpan.
 	sentInBackoff, rejected, largestBurst int
-	// sentAfterLeaving counts the requests that a box sent to an engine later than leavingGrace after that engine had
-	// told it that it leaves.
+	// sentAfterLeaving counts the requests that reached an engine from a box later than leavingGrace after the engine
+	// had first stated to that box that it leaves.
 	sentAfterLeaving int
-	// lastLearned is when a box last learned of an engine that it leaves.
+	// lastLearned is the latest time at which a box learned that an engine leaves.
 	lastLearned time.Time
 	// lostRuns counts the requests that ended because their engine was gone.
 	lostRuns int
@@ -74,22 +74,23 @@
 	alive   context.Context
 	kill    context.CancelFunc
 	gone    bool
-	// backoffAskedAt is when each box was last asked for a backoff, and leavingToldAt when each was first told that
-	// the engine leaves.
-	backoffAskedAt, leavingToldAt map[int]time.Time
+	// backoffAskedAt is when each box was last asked for a backoff, and leavingStatedAt when the engine
+	// first stated to each box that it leaves.
+	backoffAskedAt, leavingStatedAt map[int]time.Time
 	// recentArrivals are the arrivals within the latest burstSpan.
 	recentArrivals []time.Time
 	// allArrivals are the arrivals since the start, and sentBy has the box of each.
 	allArrivals []time.Time
 	sentBy      []int
-	// limits are the limits that its answers stated, in order, and limitToldAt is when each box was first told of one.
-	limits      []statedLimit
-	limitToldAt map[int]time.Time
+	// limits are the limits that its answers stated, in order, and limitStatedAt is when it first stated one
+	// to each box.
+	limits        []statedLimit
+	limitStatedAt map[int]time.Time
 }
 
 const (
 	// backoffGrace is how long after it was asked for a backoff a box may still send, and leavingGrace how long after
-	// it was told that an engine leaves. Both are bounds of the platform.
+	// an engine stated to it that it leaves. Both are bounds of the platform.
 	backoffGrace = 500 * time.Millisecond
 	leavingGrace = 2 * time.Second
 	// burstSpan is the time in which requests count as one burst.
@@ -108,7 +109,7 @@
 		n.crashFleet = c
 		for k := range size.upstreams {
 			alive, kill := context.WithCancel(context.Background())
-			n.engines[upstreamName(k)] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingToldAt: map[int]time.Time{}, limitToldAt: map[int]time.Time{}}
+			n.engines[upstreamName(k)] = &noticeEngine{alive: alive, kill: kill, backoffAskedAt: map[int]time.Time{}, leavingStatedAt: map[int]time.Time{}, limitStatedAt: map[int]time.Time{}}
 		}
 		c.tune, c.tuneNode = n.tuneConfig, n.tuneBox
 	}
@@ -159,7 +160,7 @@
 	}
 }
 
-// tuneBox applies the variant to a box and records when the box learns of an engine that it leaves.
+// tuneBox applies the variant to a box and records when the box learns that an engine leaves.
 func (n *noticeFleet) tuneBox(box *Node) {
 	directory := box.Gateway.Directory
 	directory.BackoffPolicy = n.variant.backoffRules
@@ -167,26 +168,26 @@
 		n.variant.tune(n, box)
 	}
 	logged := directory.OnNotice
-	directory.OnNotice = func(noted fleet.NoticeEvent) {
-		logged(noted)
-		if noted.Leaving {
+	directory.OnNotice = func(event fleet.NoticeEvent) {
+		logged(event)
+		if event.Leaving {
 			n.noticeMu.Lock()
 			n.lastLearned = time.Now()
 			n.noticeMu.Unlock()
 		}
 	}
 	if n.variant.backoffForAll {
-		directory.OnNotice = func(noted fleet.NoticeEvent) {
+		directory.OnNotice = func(event fleet.NoticeEvent) {
 			for _, other := range n.nodes {
-				if noted.Source != fleet.SourceBox && other != nil && other != box {
-					other.Gateway.Directory.RecordNotice(noted.Upstream, fleet.Notice{Backoff: noted.Backoff, Source: fleet.SourceBox})
+				if event.Source != fleet.SourceBox && other != nil && other != box {
+					other.Gateway.Directory.RecordNotice(event.Upstream, fleet.Notice{Backoff: event.Backoff, Source: fleet.SourceBox})
 				}
 			}
 		}
 	}
 }
 
-// lastLearnedAt returns when a box last learned of an engine that it leaves.
+// lastLearnedAt returns the latest time at which a box learned that an engine leaves.
 func (n *noticeFleet) lastLearnedAt() time.Time {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
@@ -198,7 +199,7 @@
 	if err := pause.For(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	engine, turnedAway, notice := n.arrive(box, to.ID)
+	engine, rejected, notice := n.arrive(box, to.ID)
 	if engine.gone {
 		return nil, gateway.ErrNotSent
 	}
@@ -211,7 +212,7 @@
 	}
 	notice.Source = fleet.SourceRequest
 	to.HandleNotice(notice)
-	if turnedAway {
+	if rejected {
 		return &gateway.Answer{
 			Status: http.StatusServiceUnavailable, Header: http.Header{}, NotExecuted: true, Body: io.NopCloser(strings.NewReader("")),
 		}, nil
@@ -234,7 +235,7 @@
 
 // arrive counts a request that reaches an engine. It returns the engine, whether it rejects the request, and the
 // notice in its answer.
-func (n *noticeFleet) arrive(box int, id string) (engine *noticeEngine, turnedAway bool, notice fleet.Notice) {
+func (n *noticeFleet) arrive(box int, id string) (engine *noticeEngine, rejected bool, notice fleet.Notice) {
 	n.noticeMu.Lock()
 	defer n.noticeMu.Unlock()
 	now := time.Now()
@@ -245,7 +246,7 @@
 	if at, ok := engine.backoffAskedAt[box]; ok && now.Sub(at) > backoffGrace && now.Sub(at) < n.backoff {
 		n.sentInBackoff++
 	}
-	if at, ok := engine.leavingToldAt[box]; ok && now.Sub(at) > leavingGrace {
+	if at, ok := engine.leavingStatedAt[box]; ok && now.Sub(at) > leavingGrace {
 		n.sentAfterLeaving++
 	}
 	engine.countArrival(now, &n.largestBurst)
@@ -253,8 +254,8 @@
 	engine.addLimit(box, now, &notice)
 	if engine.leaving {
 		notice.Leaving = true
-		if _, ok := engine.leavingToldAt[box]; !ok {
-			engine.leavingToldAt[box] = now
+		if _, ok := engine.leavingStatedAt[box]; !ok {
+			engine.leavingStatedAt[box] = now
 		}
 	}
 	full := n.engineSlots > 0 && engine.running >= n.engineSlots
@@ -268,14 +269,14 @@
 	return engine, false, notice
 }
 
-// countArrival records an arrival, and raises longest to the number of arrivals in the latest burstSpan.
-func (e *noticeEngine) countArrival(now time.Time, longest *int) {
+// countArrival records an arrival, and raises largestBurst to the number of arrivals in the latest burstSpan.
+func (e *noticeEngine) countArrival(now time.Time, largestBurst *int) {
 	for len(e.recentArrivals) > 0 && now.Sub(e.recentArrivals[0]) > burstSpan {
 		e.recentArrivals = e.recentArrivals[1:]
 	}
 	e.recentArrivals = append(e.recentArrivals, now)
 	e.allArrivals = append(e.allArrivals, now)
-	*longest = max(*longest, len(e.recentArrivals))
+	*largestBurst = max(*largestBurst, len(e.recentArrivals))
 }
 
 func (n *noticeFleet) finish(engine *noticeEngine) {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -18,10 +18,10 @@
 
 // largeFleet is a fleet of more boxes than exchange in a full mesh, in halls of ten.
 type largeFleet struct {
-	nodes    []*Node
-	stops    []context.CancelFunc
-	stopped  sync.WaitGroup
-	watching atomic.Int64
+	nodes      []*Node
+	stops      []context.CancelFunc
+	stopped    sync.WaitGroup
+	watchCalls atomic.Int64
 }
 
 const boxesPerHall = 10
@@ -48,9 +48,9 @@
 	network := &spectest.Network{}
 	memory := kv.NewMemory().Store()
 	store := memory
-	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
-		f.watching.Add(1)
-		return pollingWatch(ctx, memory, watching)
+	store.Watch = func(ctx context.Context, options kv.WatchOptions) (<-chan []kv.Event, error) {
+		f.watchCalls.Add(1)
+		return pollingWatch(ctx, memory, options)
 	}
 	put := func(key, value string) {
 		_, err := memory.Swap(context.Background(), kv.Swap{Key: key, Value: []byte(value)})
@@ -74,8 +74,8 @@
 }
 
 // pollingWatch returns a watch that, like the platform's, also answers a poll without changes, with an empty batch.
-func pollingWatch(ctx context.Context, store kv.Store, watching kv.WatchOptions) (<-chan []kv.Event, error) {
-	changes, err := store.Watch(ctx, watching)
+func pollingWatch(ctx context.Context, store kv.Store, options kv.WatchOptions) (<-chan []kv.Event, error) {
+	changes, err := store.Watch(ctx, options)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	go func() {
 		defer close(answers)
 		for {
-			wait, ok := watching.NextPoll(ctx)
+			wait, ok := options.NextPoll(ctx)
 			if !ok {
 				return
 			}
@@ -106,8 +106,8 @@
 
 // linkedWatch returns a pollingWatch over a link: each batch arrives once deliver has returned, and the watch ends if
 // that fails.
-func linkedWatch(ctx context.Context, store kv.Store, watching kv.WatchOptions, deliver func([]kv.Event) error) (<-chan []kv.Event, error) {
-	batches, err := pollingWatch(ctx, store, watching)
+func linkedWatch(ctx context.Context, store kv.Store, options kv.WatchOptions, deliver func([]kv.Event) error) (<-chan []kv.Event, error) {
+	batches, err := pollingWatch(ctx, store, options)
 	if err != nil {
 		return nil, err
 	}
@@ -176,9 +176,9 @@
 			}
 			Eventually(func() []int { return f.runningAt("e1") }).WithTimeout(3 * time.Second).Should(Equal(everywhere(1)))
 			By("polling the store from a few boxes only")
-			before := f.watching.Load()
+			before := f.watchCalls.Load()
 			time.Sleep(time.Second)
-			Expect(f.watching.Load() - before).To(BeNumerically("<", 3))
+			Expect(f.watchCalls.Load() - before).To(BeNumerically("<", 3))
 			By("losing a relay")
 			f.stops[10]()
 			Eventually(func() bool { return f.nodes[11].exchange.Members.FollowsRelay() }).WithTimeout(5 * time.Second).Should(BeFalse())
--- a/internal/node/small_boxes_test.go
+++ b/internal/node/small_boxes_test.go
@@ -215,8 +215,8 @@
 		}
 		return snapshot, receive(ctx, bytes)
 	}
-	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
-		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
+	store.Watch = func(ctx context.Context, options kv.WatchOptions) (<-chan []kv.Event, error) {
+		return linkedWatch(ctx, s.memory, options, func(batch []kv.Event) error {
 			bytes := 0
 			for _, event := range batch {
 				bytes += len(event.Record.Value)
@@ -250,7 +250,7 @@
 	s.written[name] = at
 }
 
-// recordKnown records that a box knows of a change.
+// recordKnown records when a box first knew of a change.
 func (s *smallBoxes) recordKnown(change, box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/start_size_test.go
+++ b/internal/node/start_size_test.go
@@ -49,8 +49,8 @@
 // store returns the store for one box. It adds to watched the records that the box's watches deliver.
 func (s *pagedStore) store(watched *atomic.Int64) kv.Store {
 	store := s.memory
-	store.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
-		return linkedWatch(ctx, s.memory, watching, func(batch []kv.Event) error {
+	store.Watch = func(ctx context.Context, options kv.WatchOptions) (<-chan []kv.Event, error) {
+		return linkedWatch(ctx, s.memory, options, func(batch []kv.Event) error {
 			s.watched.Add(int64(len(batch)))
 			watched.Add(int64(len(batch)))
 			return s.send(ctx, len(batch))
@@ -268,7 +268,7 @@
 		for _, boxes := range sizes {
 			pages, took := new(startedFleet).run(boxes, upstreams, false)
 			GinkgoWriter.Printf("%d boxes: %d pages read, all ready after %v\n", boxes, pages, took)
-			// Three seeds read the whole store, the others two pages. A tenth may have waited for a copy in vain.
+			// Three seeds read the whole store, the others two pages. A tenth may have waited for a copy that did not come.
 			Expect(pages).To(BeNumerically("<=", 2*boxes+(3+boxes/10)*10))
 			Expect(took).To(BeNumerically("<", 5*time.Second))
 		}
--- a/internal/node/store_calls_test.go
+++ b/internal/node/store_calls_test.go
@@ -41,16 +41,16 @@
 		c.revokes.Add(1)
 		return store.Revoke(ctx, id)
 	}
-	counted.Watch = func(ctx context.Context, watching kv.WatchOptions) (<-chan []kv.Event, error) {
-		next := watching.Next
-		watching.Next = func(ctx context.Context) (time.Duration, bool) {
+	counted.Watch = func(ctx context.Context, options kv.WatchOptions) (<-chan []kv.Event, error) {
+		next := options.Next
+		options.Next = func(ctx context.Context) (time.Duration, bool) {
 			wait, ok := next(ctx)
 			if ok {
 				c.polls.Add(1)
 			}
 			return wait, ok
 		}
-		return store.Watch(ctx, watching)
+		return store.Watch(ctx, options)
 	}
 	return counted
 }
