--- a/internal/box/bundles_in_force.go
+++ b/internal/box/bundles_in_force.go
@@ -30,7 +30,7 @@
 	store   kv.Store
 	view    *membership.View
 	fetcher *recordFetcher
-	// current is nil until the store or a peer has told which table is in force.
+	// current is nil until the store or a peer has answered which table is in force.
 	current atomic.Pointer[tableInForce]
 }
 
--- a/internal/box/callers_test.go
+++ b/internal/box/callers_test.go
@@ -53,7 +53,7 @@
 		case !a.repeatable && starts > 1:
 			found = append(found, fmt.Sprintf("%s: may not be repeated, started %d times", a.prompt, starts))
 		case notRun && a.alone && a.startsAtAnswer > 0:
-			found = append(found, fmt.Sprintf("%s: told not run, had been started", a.prompt))
+			found = append(found, fmt.Sprintf("%s: reported as not run, but had been started", a.prompt))
 		}
 	}
 	for _, a := range history {
@@ -63,7 +63,7 @@
 	}
 	for prompt, notRun := range allNotRun {
 		if notRun && t.startsOf(prompt) > 0 {
-			found = append(found, fmt.Sprintf("%s: told not run only, was started", prompt))
+			found = append(found, fmt.Sprintf("%s: reported only as not run, but was started", prompt))
 		}
 	}
 	return found
--- a/internal/box/capacity_bench_test.go
+++ b/internal/box/capacity_bench_test.go
@@ -84,9 +84,9 @@
 		b.Run(fmt.Sprintf("boxes=%d", 2*boxes), func(b *testing.B) {
 			t := servingFleet(b, 2, boxes, 2, "m1")
 			inside, outside := t.hosts("h2")
-			t.net.setCut(true, inside, outside)
+			t.net.setPartition(true, inside, outside)
 			time.Sleep(idleMeasureTime)
-			t.net.setCut(false, inside, outside)
+			t.net.setPartition(false, inside, outside)
 			calls := t.platformCalls.counts()
 			time.Sleep(idleMeasureTime)
 			reads, writes := callsSince(t.platformCalls.counts(), calls)
--- a/internal/box/config.go
+++ b/internal/box/config.go
@@ -31,7 +31,7 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// PeerConfig says how this box and the others reach each other.
+// PeerConfig holds the settings of the calls between this box and the others.
 type PeerConfig struct {
 	// Listen is the address on which this box serves other boxes. Address is where they reach it.
 	Listen  string
@@ -44,7 +44,7 @@
 	HeartbeatInterval time.Duration
 }
 
-// PlatformConfig says how to reach the platform's key-value service and box list.
+// PlatformConfig holds the settings of the calls to the platform's key-value service and box list.
 type PlatformConfig struct {
 	// URL is the base URL of both.
 	URL string
--- a/internal/box/faults_test.go
+++ b/internal/box/faults_test.go
@@ -93,9 +93,9 @@
 			t.platform.SetMode(standin.FaultNone)
 		case 5:
 			inside, outside := t.hosts("h2")
-			t.net.setCut(true, inside, outside)
+			t.net.setPartition(true, inside, outside)
 			pause(ctx, time.Duration(random.IntN(4000))*time.Millisecond)
-			t.net.setCut(false, inside, outside)
+			t.net.setPartition(false, inside, outside)
 		case 6:
 			_, b := boxes.pick()
 			t.net.reset(b.host)
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -185,7 +185,7 @@
 
 func (t *testFleet) close() {
 	t.net.mu.Lock()
-	clear(t.net.cut)
+	clear(t.net.partitioned)
 	close(t.net.changed)
 	t.net.changed = make(chan struct{})
 	t.net.mu.Unlock()
@@ -357,16 +357,16 @@
 	events []T
 }
 
-func (h *eventLog[T]) add(event T) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.events = append(h.events, event)
+func (l *eventLog[T]) add(event T) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.events = append(l.events, event)
 }
 
-func (h *eventLog[T]) all() []T {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Clone(h.events)
+func (l *eventLog[T]) all() []T {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.events)
 }
 
 var _ = Describe("A fleet in a synctest bubble", func() {
--- a/internal/box/heartbeats.go
+++ b/internal/box/heartbeats.go
@@ -26,7 +26,7 @@
 	remoteLoadsMaxAge = 5 * time.Second
 )
 
-// heartbeats sends this box's heartbeats and processes those of others. Heartbeats tell which boxes are live, which
+// heartbeats sends this box's heartbeats and processes those of others. Heartbeats state which boxes are live, which
 // records they hold, what they sent to engines, and which upstreams are leaving.
 type heartbeats struct {
 	self    *self
--- a/internal/box/knowledge.go
+++ b/internal/box/knowledge.go
@@ -28,10 +28,10 @@
 	heartbeats *heartbeats
 }
 
-func newKnowledge(config Config, self *self, l *connections, log *zap.Logger, set *metrics.Set) *knowledge {
+func newKnowledge(config Config, self *self, c *connections, log *zap.Logger, set *metrics.Set) *knowledge {
 	k := &knowledge{cache: records.NewCache(), view: membership.NewView(config.ID), router: routing.New(routing.Config{})}
 	k.reader = newRecordReader(k.cache, log)
-	k.fetcher = &recordFetcher{peers: l.peers, cache: k.cache}
+	k.fetcher = &recordFetcher{peers: c.peers, cache: k.cache}
 	k.members = &members{self: self, view: k.view}
 	k.fleet = newFleetState(fleetConfig{
 		self:         self,
@@ -40,7 +40,7 @@
 		view:         k.view,
 		router:       k.router,
 	})
-	k.inForce = &bundlesInForce{self: self, log: log, cache: k.cache, store: l.store, view: k.view, fetcher: k.fetcher}
+	k.inForce = &bundlesInForce{self: self, log: log, cache: k.cache, store: c.store, view: k.view, fetcher: k.fetcher}
 	k.heartbeats = &heartbeats{
 		self:       self,
 		members:    k.members,
@@ -50,26 +50,26 @@
 		cache:      k.cache,
 		fleet:      k.fleet,
 		fetcher:    k.fetcher,
-		peers:      l.peers,
+		peers:      c.peers,
 		set:        set,
 		sendSoon:   newSignal(),
 	}
-	k.addReaders(config.Platform.URL, l, log, set)
+	k.addReaders(config.Platform.URL, c, log, set)
 	return k
 }
 
 // addReaders makes the parts that read the store and the box list, and the one that applies what they read.
-func (k *knowledge) addReaders(url string, l *connections, log *zap.Logger, set *metrics.Set) {
-	k.follower = &storeFollower{store: l.store, cache: k.cache, members: k.members, inForce: k.inForce}
+func (k *knowledge) addReaders(url string, c *connections, log *zap.Logger, set *metrics.Set) {
+	k.follower = &storeFollower{store: c.store, cache: k.cache, members: k.members, inForce: k.inForce}
 	k.boxList = &boxListReader{
 		url:     url,
-		client:  l.platform,
+		client:  c.platform,
 		members: k.members,
 		cache:   k.cache,
 		cleaner: &staleStateCleaner{
 			members: k.members,
 			fleet:   k.fleet,
-			engines: l.engines,
+			engines: c.engines,
 			router:  k.router,
 			inForce: k.inForce,
 			cache:   k.cache,
--- a/internal/box/links.go
+++ b/internal/box/links.go
@@ -27,7 +27,7 @@
 }
 
 func newConnections(config Config, self *self, log *zap.Logger, set *metrics.Set) *connections {
-	l := &connections{
+	c := &connections{
 		platform:          &http.Client{Transport: httpTransport(config.Dial)},
 		peers:             peer.NewClient(config.Peers.Secret, config.Dial, set),
 		server:            peer.NewServer(config.Peers.Secret, set),
@@ -35,10 +35,10 @@
 		serviceClient:     &http.Client{Transport: httpTransport(config.Dial), CheckRedirect: noRedirect},
 		serviceOnceClient: &http.Client{Transport: onceTransport(config.Dial), CheckRedirect: noRedirect},
 	}
-	store := kv.NewEtcd(kv.EtcdConfig{URL: config.Platform.URL, Client: l.platform})
+	store := kv.NewEtcd(kv.EtcdConfig{URL: config.Platform.URL, Client: c.platform})
 	budget := kv.Budget{ReadsPerSecond: config.Platform.ReadsPerSecond, WritesPerSecond: config.Platform.WritesPerSecond, Set: set}
-	l.store = observeStore(kv.WithBudget(store, budget), self, log)
-	return l
+	c.store = observeStore(kv.WithBudget(store, budget), self, log)
+	return c
 }
 
 // observeStore wraps a store so that it records and logs whether the key-value service is reachable.
@@ -52,10 +52,10 @@
 }
 
 // close closes all connections.
-func (l *connections) close() {
-	l.server.Close()
-	l.peers.Close()
-	for _, client := range []*http.Client{l.platform, l.serviceClient, l.serviceOnceClient, l.engines.http} {
+func (c *connections) close() {
+	c.server.Close()
+	c.peers.Close()
+	for _, client := range []*http.Client{c.platform, c.serviceClient, c.serviceOnceClient, c.engines.http} {
 		client.CloseIdleConnections()
 	}
 }
--- a/internal/box/memnet_test.go
+++ b/internal/box/memnet_test.go
@@ -15,8 +15,8 @@
 	mu        sync.Mutex
 	listeners map[string]*memListener
 	conns     map[*memConn]bool
-	// cut holds pairs of hosts between which nothing passes.
-	cut map[[2]string]bool
+	// partitioned holds pairs of hosts between which nothing passes.
+	partitioned map[[2]string]bool
 	// downHosts holds the hosts that were killed.
 	downHosts map[string]bool
 	changed   chan struct{}
@@ -24,11 +24,11 @@
 
 func newMemnet() *memnet {
 	return &memnet{
-		listeners: map[string]*memListener{},
-		conns:     map[*memConn]bool{},
-		cut:       map[[2]string]bool{},
-		downHosts: map[string]bool{},
-		changed:   make(chan struct{}),
+		listeners:   map[string]*memListener{},
+		conns:       map[*memConn]bool{},
+		partitioned: map[[2]string]bool{},
+		downHosts:   map[string]bool{},
+		changed:     make(chan struct{}),
 	}
 }
 
@@ -53,9 +53,9 @@
 		}
 		n.mu.Lock()
 		l := n.listeners[address]
-		dead := n.downHosts[to] || n.downHosts[from]
+		down := n.downHosts[to] || n.downHosts[from]
 		n.mu.Unlock()
-		if l == nil || dead {
+		if l == nil || down {
 			return nil, dialError("refused")
 		}
 		near, far := net.Pipe()
@@ -75,13 +75,13 @@
 	}
 }
 
-// await waits until from and to are not cut off from each other. It returns false if done ends first.
+// await waits until no partition separates from and to. It returns false if done ends first.
 func (n *memnet) await(done <-chan struct{}, from, to string) bool {
 	for {
 		n.mu.Lock()
-		cut, changed := n.cut[[2]string{from, to}], n.changed
+		partitioned, changed := n.partitioned[[2]string{from, to}], n.changed
 		n.mu.Unlock()
-		if !cut {
+		if !partitioned {
 			return true
 		}
 		select {
@@ -92,19 +92,19 @@
 	}
 }
 
-func (n *memnet) isCut(from, to string) bool {
+func (n *memnet) isPartitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[[2]string{from, to}]
+	return n.partitioned[[2]string{from, to}]
 }
 
-// setCut cuts two groups of hosts off from each other, or ends that partition.
-func (n *memnet) setCut(cut bool, group, others []string) {
+// setPartition begins or ends a network partition between two groups of hosts.
+func (n *memnet) setPartition(partitioned bool, group, others []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range group {
 		for _, b := range others {
-			n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+			n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = partitioned, partitioned
 		}
 	}
 	close(n.changed)
@@ -170,7 +170,7 @@
 func (memAddr) Network() string  { return "mem" }
 func (a memAddr) String() string { return string(a) }
 
-// memConn stays broken once something was sent over it while its hosts were cut off from each other. What is sent
+// memConn stays broken once something was sent over it while a partition separated its hosts. What is sent
 // then is lost without an error.
 type memConn struct {
 	net.Conn
@@ -182,7 +182,7 @@
 }
 
 func (c *memConn) Write(p []byte) (int, error) {
-	if c.net.isCut(c.from, c.to) {
+	if c.net.isPartitioned(c.from, c.to) {
 		c.broken.Store(true)
 	}
 	if c.broken.Load() {
--- a/internal/box/outcomes.go
+++ b/internal/box/outcomes.go
@@ -48,7 +48,7 @@
 }
 
 // maySend reports whether a claimed run may be sent to its upstream. It may not if it was forgotten in the meantime,
-// since its outcome could then no longer be told to other boxes.
+// since its outcome could then no longer be reported to other boxes.
 func (o *outcomes) maySend(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/box/reach_test.go
+++ b/internal/box/reach_test.go
@@ -71,7 +71,7 @@
 			t.awaitModels("m1")
 			time.Sleep(30 * time.Second)
 			inside, outside := t.hosts("h2")
-			t.net.setCut(true, inside, outside)
+			t.net.setPartition(true, inside, outside)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 			defer cancel()
 			for _, id := range []string{"h1-b1", "h2-b1"} {
@@ -81,7 +81,7 @@
 				})
 			}
 			Expect(probe(ctx, t, t.boxes["h2-b1"], []string{"m1"})).To(BeEmpty())
-			t.net.setCut(false, inside, outside)
+			t.net.setPartition(false, inside, outside)
 			t.until(60*time.Second, func() error { return checkGenerations(t) })
 		})
 	})
--- a/internal/box/requests.go
+++ b/internal/box/requests.go
@@ -22,33 +22,33 @@
 	operators *operatorServer
 }
 
-func newRequests(config Config, self *self, l *connections, k *knowledge, set *metrics.Set) *requests {
+func newRequests(config Config, self *self, c *connections, k *knowledge, set *metrics.Set) *requests {
 	r := &requests{admission: admission.New(k.view.FleetSize), demand: newDemand()}
 	r.burn = &burnReports{
 		self:     self,
 		view:     k.view,
 		recorder: burn.NewRecorder(self.id, self.incarnation),
 		keeper:   burn.NewSnapshotStore(),
-		peers:    l.peers,
+		peers:    c.peers,
 		set:      set,
 	}
 	r.counters = &requestCounters{burn: r.burn.recorder, set: set}
 	r.claimed = &claimedRuns{
 		self:     self,
-		claims:   claims.New(claims.Config{Store: l.store, Window: config.Requests.ClaimWindow}),
+		claims:   claims.New(claims.Config{Store: c.store, Window: config.Requests.ClaimWindow}),
 		outcomes: newOutcomes(),
-		peers:    l.peers,
+		peers:    c.peers,
 		set:      set,
 	}
 	// Models and plain services share the box's retry budget.
 	retries := routing.NewRetryBudget(retryBudgetRatio)
-	r.models = r.newModelServer(l, k, retries, set)
-	r.services = r.newServiceProxy(config.Requests.MaxBody, l, k, retries)
-	r.operators = r.newOperatorServer(config, l, k, set)
+	r.models = r.newModelServer(c, k, retries, set)
+	r.services = r.newServiceProxy(config.Requests.MaxBody, c, k, retries)
+	r.operators = r.newOperatorServer(config, c, k, set)
 	return r
 }
 
-func (r *requests) newModelServer(l *connections, k *knowledge, retries *routing.RetryBudget, set *metrics.Set) *modelServer {
+func (r *requests) newModelServer(c *connections, k *knowledge, retries *routing.RetryBudget, set *metrics.Set) *modelServer {
 	return &modelServer{
 		inForce:   k.inForce,
 		fleet:     k.fleet,
@@ -61,7 +61,7 @@
 			fleet:         k.fleet,
 			view:          k.view,
 			router:        k.router,
-			engines:       l.engines,
+			engines:       c.engines,
 			set:           set,
 			heartbeatSoon: k.heartbeats.sendSoon,
 		},
@@ -70,7 +70,7 @@
 	}
 }
 
-func (r *requests) newServiceProxy(maxBody int64, l *connections, k *knowledge, retries *routing.RetryBudget) *serviceProxy {
+func (r *requests) newServiceProxy(maxBody int64, c *connections, k *knowledge, retries *routing.RetryBudget) *serviceProxy {
 	return &serviceProxy{
 		inForce:          k.inForce,
 		fleet:            k.fleet,
@@ -79,19 +79,19 @@
 		retries:          retries,
 		claimed:          r.claimed,
 		counters:         r.counters,
-		repeatableClient: l.serviceClient,
-		onceClient:       l.serviceOnceClient,
+		repeatableClient: c.serviceClient,
+		onceClient:       c.serviceOnceClient,
 		maxBodyBytes:     maxBody,
 	}
 }
 
-func (r *requests) newOperatorServer(config Config, l *connections, k *knowledge, set *metrics.Set) *operatorServer {
+func (r *requests) newOperatorServer(config Config, c *connections, k *knowledge, set *metrics.Set) *operatorServer {
 	fits := func(current, next []*bundle.Bundle) error {
 		return k.fleet.fits(current, next, config.Control.Placement)
 	}
 	return &operatorServer{
 		tokens:   config.Operators,
-		registry: &bundle.Registry{Store: l.store, Fits: fits},
+		registry: &bundle.Registry{Store: c.store, Fits: fits},
 		inForce:  k.inForce,
 		follower: k.follower,
 		burn:     r.burn,
--- a/internal/box/requests_test.go
+++ b/internal/box/requests_test.go
@@ -122,7 +122,7 @@
 		})
 	})
 
-	It("would be told 'not run' wrongly if a retry claimed to be a first attempt (guard off)", func() {
+	It("would be reported as not run wrongly if a retry claimed to be a first attempt (guard off)", func() {
 		withFleet(fleetSpec{halls: 1, boxes: 2, engines: 2, memory: 64 * gib}, func(t *testFleet) {
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "10GiB", "writer"))
 			t.awaitModels("writer")
--- a/internal/box/resume_test.go
+++ b/internal/box/resume_test.go
@@ -109,7 +109,7 @@
 								break
 							}
 							if strings.Contains(answer, `"outcome":"not run"`) && t.runsOf(body) > 0 {
-								violated.add(body + ": told not run, but had run: " + answer)
+								violated.add(body + ": reported as not run, but had run: " + answer)
 							}
 							time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 						}
@@ -172,9 +172,9 @@
 		withFleet(spec, func(t *testFleet) {
 			hosts := []string{t.boxes["h1-b1"].host, t.boxes["h1-b2"].host}
 			cut = func(engine string) {
-				t.net.setCut(true, hosts, []string{engine})
+				t.net.setPartition(true, hosts, []string{engine})
 				t.net.reset(engine)
-				time.AfterFunc(12*time.Second, func() { t.net.setCut(false, hosts, []string{engine}) })
+				time.AfterFunc(12*time.Second, func() { t.net.setPartition(false, hosts, []string{engine}) })
 			}
 			t.roll(t.boxes["h1-b1"], bundleText(1, "a", "10GiB", "writer"))
 			t.awaitModels("writer")
--- a/internal/box/soak_test.go
+++ b/internal/box/soak_test.go
@@ -139,20 +139,20 @@
 		t.platform.SetMode(standin.FaultNone)
 	case "cut hall":
 		inside, outside := boxes.hosts(hall)
-		t.net.setCut(true, inside, outside)
+		t.net.setPartition(true, inside, outside)
 		time.Sleep(f.duration)
-		t.net.setCut(false, inside, outside)
+		t.net.setPartition(false, inside, outside)
 	case "cut platform from hall":
 		inside, _ := boxes.hosts(hall)
-		t.net.setCut(true, inside, []string{"platform"})
+		t.net.setPartition(true, inside, []string{"platform"})
 		time.Sleep(f.duration)
-		t.net.setCut(false, inside, []string{"platform"})
+		t.net.setPartition(false, inside, []string{"platform"})
 	case "cut engine":
 		others := boxes.boxHosts()
-		t.net.setCut(true, others, []string{engine})
+		t.net.setPartition(true, others, []string{engine})
 		t.net.reset(engine)
 		time.Sleep(f.duration)
-		t.net.setCut(false, others, []string{engine})
+		t.net.setPartition(false, others, []string{engine})
 	case "roll":
 		*version++
 		_, b := boxes.pick()
--- a/internal/box/tidier.go
+++ b/internal/box/tidier.go
@@ -6,7 +6,7 @@
 	"ospreymoor.example/ospreymoor/pkg/routing"
 )
 
-// staleStateCleaner drops the state of boxes, engines and bundles that are gone from the other parts.
+// staleStateCleaner removes from other parts of the box what they hold of boxes, engines and bundles that are gone.
 type staleStateCleaner struct {
 	members *members
 	fleet   *fleetState
@@ -16,18 +16,18 @@
 	cache   *records.Cache
 }
 
-// removeStale drops the state of all boxes that are not live, upstreams that are not listed and bundles that are
-// not in force.
-func (t *staleStateCleaner) removeStale() {
+// removeStale drops the state of boxes that are not live and of upstreams that are not listed. Once the table in
+// force is known, it also drops the texts of bundles that are not in force.
+func (c *staleStateCleaner) removeStale() {
 	incarnations := map[string]bool{}
-	for _, p := range t.members.view.Live() {
+	for _, p := range c.members.view.Live() {
 		incarnations[p.Incarnation] = true
 	}
-	t.fleet.sent.forget(incarnations)
-	snapshot := t.fleet.snapshot.Load()
-	t.engines.forget(snapshot.engines)
-	t.router.Forget(snapshot.hasUpstream)
-	table := t.inForce.current.Load()
+	c.fleet.sent.forget(incarnations)
+	snapshot := c.fleet.snapshot.Load()
+	c.engines.forget(snapshot.engines)
+	c.router.Forget(snapshot.hasUpstream)
+	table := c.inForce.current.Load()
 	if table == nil {
 		return
 	}
@@ -35,5 +35,5 @@
 	for customer, entry := range table.table.Customers {
 		texts[bundle.TextKey(customer, entry.Version)] = true
 	}
-	t.cache.Retain(func(name string) bool { return isShared(name) || texts[name] })
+	c.cache.Retain(func(name string) bool { return isShared(name) || texts[name] })
 }
