--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// countingConn counts the bytes that are written. They tell whether a failed request was sent.
+// countingConn counts the bytes that are written. The count shows whether a failed request was sent.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Timeouts bounds how long a call may go on without receiving data. A long answer can still arrive over a slow
-// link, and a call to a server that sends nothing fails early.
+// Timeouts bounds how long a call may go on without receiving data, and how long it may take as a whole. A long
+// answer can still arrive over a slow link, and a call to a server that sends nothing fails early.
 type Timeouts struct {
 	// First is the longest time until the answer begins, and Idle the longest pause within it.
 	First, Idle time.Duration
@@ -17,14 +17,14 @@
 }
 
 // Call does what Sender.Call does, within these bounds. A call that exceeds one fails with the context's error.
-func (p Timeouts) Call(send Sender, request *http.Request, maxBytes int64) (status int, body []byte, err error) {
-	ctx, cancel := context.WithTimeout(request.Context(), p.Whole)
+func (t Timeouts) Call(send Sender, request *http.Request, maxBytes int64) (status int, body []byte, err error) {
+	ctx, cancel := context.WithTimeout(request.Context(), t.Whole)
 	defer cancel()
-	stalled := time.AfterFunc(p.First, cancel)
+	stalled := time.AfterFunc(t.First, cancel)
 	defer stalled.Stop()
 	return send.withBody(func(body io.Reader) io.Reader {
-		stalled.Reset(p.Idle)
-		return progressReader{Reader: body, onData: func() { stalled.Reset(p.Idle) }}
+		stalled.Reset(t.Idle)
+		return progressReader{Reader: body, onData: func() { stalled.Reset(t.Idle) }}
 	}).Call(request.WithContext(ctx), maxBytes)
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// wrappedBody reads from a wrapping reader and closes the body below it.
+// wrappedBody reads through a wrapping reader and closes the wrapped body.
 type wrappedBody struct {
 	io.Reader
 	io.Closer
@@ -52,7 +52,7 @@
 	onData func()
 }
 
-// Read reads from the reader below, and calls onData if it returned data.
+// Read reads from the wrapped reader, and calls onData if it returned data.
 func (r progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
--- a/internal/transport/progress_test.go
+++ b/internal/transport/progress_test.go
@@ -12,7 +12,7 @@
 	"ospreymoor.example/ospreymoor/internal/transport"
 )
 
-var _ = Describe("a call bounded by its progress", func() {
+var _ = Describe("a call with timeouts", func() {
 	const idle = 200 * time.Millisecond
 	// slow returns a server that answers in parts, with a pause before each.
 	slow := func(parts int, pause time.Duration) *httptest.Server {
@@ -27,8 +27,8 @@
 	call := func(server *httptest.Server, whole time.Duration) (string, time.Duration, error) {
 		defer server.Close()
 		begun := time.Now()
-		progress := transport.Timeouts{First: idle, Idle: idle, Whole: whole}
-		_, body, err := progress.Call(transport.New().RoundTrip, post(strings.TrimPrefix(server.URL, "http://")), 1<<20)
+		timeouts := transport.Timeouts{First: idle, Idle: idle, Whole: whole}
+		_, body, err := timeouts.Call(transport.New().RoundTrip, post(strings.TrimPrefix(server.URL, "http://")), 1<<20)
 		return string(body), time.Since(begun), err
 	}
 
--- a/internal/transport/send.go
+++ b/internal/transport/send.go
@@ -16,7 +16,7 @@
 // http.Transport.RoundTrip, which follows no redirects.
 type Sender func(*http.Request) (*http.Response, error)
 
-// Send sends a request. The error is an ErrNotSent if the request was not sent; after any other
+// Send sends a request. The error is of type ErrNotSent if the request was not sent; after any other
 // error it may have arrived.
 func (send Sender) Send(request *http.Request) (*http.Response, error) {
 	tracker := &writeTracker{}
@@ -39,7 +39,7 @@
 	return response.StatusCode, body, errors.Trace(err)
 }
 
-// writeTracker tells whether any byte of one request was written.
+// writeTracker determines whether any byte of one request was written.
 type writeTracker struct {
 	conn *countingConn
 	// before is the value of conn.written when the request got the connection.
