--- a/internal/box/drain.go
+++ b/internal/box/drain.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-// drain stops the box and cuts off no request before Drain.Limit. In this order, it becomes unready and announces that
-// to its peers, hands over its leases, goes on taking requests until the balancer has noticed, waits for the last
-// request, and sends its counters to their keepers. The drain notice counts from the beginning, so handing over does
-// not shorten it.
+// drain stops the box and cuts off no request before Drain.Limit. In this order, it becomes unready and announces
+// that to its peers, hands over its leases, goes on taking requests until the balancer has noticed, waits for the
+// last request, and sends its counters to their keepers. The drain notice counts from the beginning, so handing over
+// does not shorten it.
 func (b *Box) drain(server *http.Server, handOver func()) {
 	b.self.draining.Store(true)
 	wake(b.heartbeats.sendSoon)
