--- a/internal/box/memory_test.go
+++ b/internal/box/memory_test.go
@@ -80,14 +80,14 @@
 	It("would be overcommitted without fencing or intents (guard off)", func() {
 		// Whether one run overcommits is up to chance: a seed replays the faults, not how processes interleave. So more
 		// seeds are played until one in four was overcommitted, as the first four are as a rule.
-		const most = 6 * seeds
-		total, played := 0, 0
-		for played < most && (played < seeds || total*seeds < played) {
-			overcommitted, _ := rollThroughFaults(uint64(played), false, false)
+		const maxRuns = 6 * seeds
+		total, runs := 0, 0
+		for runs < maxRuns && (runs < seeds || total*seeds < runs) {
+			overcommitted, _ := rollThroughFaults(uint64(runs), false, false)
 			total += overcommitted
-			played++
+			runs++
 		}
-		Expect(total*seeds).To(BeNumerically(">=", played), "%d overcommits in %d seeds", total, played)
+		Expect(total*seeds).To(BeNumerically(">=", runs), "%d overcommits in %d seeds", total, runs)
 	})
 
 	It("refuses a roll for which the engines have no room, with the figures", func() {
--- a/internal/box/service_once.go
+++ b/internal/box/service_once.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// chooseUpstream picks an upstream.
+// chooseUpstream picks an upstream and keeps it for sendClaimed.
 func (o *serviceOnce) chooseUpstream() (claimedUpstream, *refusal) {
 	upstream, refused := o.choose(o.call)
 	o.upstream = upstream
--- a/internal/node/notice_fleet_test.go
+++ b/internal/node/notice_fleet_test.go
@@ -63,7 +63,7 @@
 	lostRuns int
 }
 
-// noticeEngine is one engine.
+// noticeEngine is the state of one engine. The fleet's noticeMu guards it.
 type noticeEngine struct {
 	running int
 	// rejectShare is the share of requests that the engine rejects until rejectUntil.
--- a/internal/node/store_calls_test.go
+++ b/internal/node/store_calls_test.go
@@ -89,12 +89,12 @@
 		withSmallBoxes(storeCallsSize, func(s *smallBoxes) {
 			before := s.calls.polls.Load()
 			s.changeUpstreams(changeTime, 70)
-			asked := s.calls.polls.Load() - before
-			GinkgoWriter.Printf("%d polls in %s\n", asked, changeTime)
+			polled := s.calls.polls.Load() - before
+			GinkgoWriter.Printf("%d polls in %s\n", polled, changeTime)
 			// The order holder gathers changes for 0.15 s and two watching boxes for 0.25 s, and each asks ahead; one poll of
 			// every second other box is room for those whose relay is late.
 			const pollsPerSecond = 7 + 2*5
-			Expect(asked).To(BeNumerically("<=", int(changeTime.Seconds())*pollsPerSecond+len(s.nodes)/2))
+			Expect(polled).To(BeNumerically("<=", int(changeTime.Seconds())*pollsPerSecond+len(s.nodes)/2))
 		})
 	})
 
