--- a/internal/transport/progress.go
+++ b/internal/transport/progress.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Timeouts bounds the time of a call, and the time that it may go on without receiving data. A long answer can
-// still arrive over a slow link, and a call to a server that sends nothing fails early.
+// Timeouts bounds how long a call may go on without receiving data, and how long it may take as a whole. A long
+// answer can still arrive over a slow link, and a call to a server that sends nothing fails early.
 type Timeouts struct {
 	// First is the longest time until the answer begins, and Idle the longest pause within it.
 	First, Idle time.Duration
@@ -40,7 +40,7 @@
 	}
 }
 
-// wrappedBody reads from a wrapping reader and closes the body below it.
+// wrappedBody reads through a wrapping reader and closes the wrapped body.
 type wrappedBody struct {
 	io.Reader
 	io.Closer
@@ -52,7 +52,7 @@
 	onData func()
 }
 
-// Read reads from the reader below, and calls onData if it returned data.
+// Read reads from the wrapped reader, and calls onData if it returned data.
 func (r progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
