--- a/internal/cmd/node.go
+++ b/internal/cmd/node.go
@@ -63,7 +63,7 @@
 		MoveCost:     c.MoveCost,
 		Log:          logging.New(level, sink, set),
 		Lifecycle:    logging.Lifecycle(sink),
-		Set:          set,
+		Metrics:      set,
 		Reload:       reloadSignals,
 	})
 }
