--- a/internal/box/links.go
+++ b/internal/box/links.go
@@ -36,7 +36,7 @@
 		serviceOnceClient: &http.Client{Transport: onceTransport(config.Dial), CheckRedirect: noRedirect},
 	}
 	store := kv.NewEtcd(kv.EtcdConfig{URL: config.Platform.URL, Client: c.platform})
-	budget := kv.Budget{ReadsPerSecond: config.Platform.ReadsPerSecond, WritesPerSecond: config.Platform.WritesPerSecond, Set: set}
+	budget := kv.Budget{ReadsPerSecond: config.Platform.ReadsPerSecond, WritesPerSecond: config.Platform.WritesPerSecond, Metrics: set}
 	c.store = observeStore(kv.WithBudget(store, budget), self, log)
 	return c
 }
--- a/pkg/kv/budget.go
+++ b/pkg/kv/budget.go
@@ -17,8 +17,8 @@
 	// counts as one read; grants, renewals and revocations count as writes.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// Set holds the counters of calls; nil means the default set.
-	Set *metrics.Set
+	// Metrics holds the counters of calls; nil means the default set.
+	Metrics *metrics.Set
 }
 
 // burstSeconds is how many seconds of its call rate a process may use at once.
@@ -48,7 +48,7 @@
 }
 
 func newBudgeted(store Store, budget Budget) *budgeted {
-	set := budget.Set
+	set := budget.Metrics
 	if set == nil {
 		set = metrics.GetDefaultSet()
 	}
