--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -21,7 +21,7 @@
 	methodRate     = "cold" // The name that boxes of the previous version know.
 )
 
-// Box is what a box registers about itself in the store, and sends with each exchange.
+// Box holds what a box registers about itself in the store and sends with each exchange.
 type Box struct {
 	Name string `json:"name"`
 	Hall string `json:"zone"`
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -7,7 +7,7 @@
 	"ospreymoor.example/ospreymoor/pkg/fleet"
 )
 
-// suitability is how much of what a request needs an upstream offers. Each level includes the ones before it.
+// suitability grades an upstream by how much of a request's needs it meets. Each level includes the ones before it.
 type suitability int
 
 const (
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// crashHistory is what this box knows about upstreams that crashed under a request in flight.
+// crashHistory holds what this box knows about upstreams that crashed under a request in flight.
 type crashHistory struct {
 	// fingerprint identifies the request by its content; nil until it is needed.
 	fingerprint *quarantine.Fingerprint
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -26,7 +26,7 @@
 
 func TestGateway(t *testing.T) { spectest.Run(t, "Gateway") }
 
-// behavior is how an attempt ends at a fake upstream.
+// behavior is the way in which an attempt at a fake upstream ends.
 type behavior int
 
 const (
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -37,7 +37,7 @@
 	throttledUpstreams throttledUpstreams
 	// endpoint is the chosen upstream, as returned by the directory for the next send.
 	endpoint *fleet.Endpoint
-	// crashHistory is what this box knows about upstreams that crashed under the request.
+	// crashHistory holds what this box knows about upstreams that crashed under the request.
 	crashHistory crashHistory
 	// rate holds the service's settings for cold engines and the request's rate grants.
 	rate rateState
--- a/internal/node/large_change_test.go
+++ b/internal/node/large_change_test.go
@@ -83,8 +83,8 @@
 				time.Sleep(8 * time.Second)
 			}
 			GinkgoWriter.Printf("after the store's return: leaving %s, in force %s\n", s.longestDelay("leaves"), s.longestDelay("version"))
-			// The required contactMs at the present size: 3 s after the store is back, boxes with no fault of their own
-			// must be up to date again.
+			// The required bound at the present size: boxes with no fault of their own must be up to date again 3 s after
+			// the store is back.
 			Expect(s.longestDelay("leaves")).To(BeNumerically("<=", 3*time.Second))
 			Expect(s.longestDelay("version")).To(BeNumerically("<=", 3*time.Second))
 		})
--- a/pkg/customers/spender.go
+++ b/pkg/customers/spender.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// askTimeout bounds one call to a keeper. A request of a service with a target of 0.3 s waits for at most two
-	// timeouts, and is then decided by its box's own account. An answer takes 3 ms between halls.
+	// askTimeout bounds one call to a keeper. It is set for services with a target of 0.3 s: a SpendRequest takes at
+	// most two timeouts, the fleet's keeper's and the hall's, and is then decided by its box's own account. An answer
+	// takes 3 ms between halls.
 	askTimeout = 100 * time.Millisecond
 	// refusalTTL is how long a box refuses a customer's requests without asking, after a keeper refused one. With a
 	// flood from one customer, each box asks the keeper at most five times per second.
@@ -75,8 +76,10 @@
 	return &Spender{AskKeeper: ask, queues: map[string]*queue{}}
 }
 
-// Take charges a request's cost to its customer's quota in a version of the configuration, or refuses the request. It
-// answers within both timeouts of a SpendRequest.
+// Take charges a request's cost to its customer's quota in a version of the configuration, or refuses the request. A
+// request that is not refused at once may first wait for the SpendRequest under way, and for others if more than
+// maxBatch requests are pending, and then waits for its own. Each SpendRequest takes at most two times askTimeout, for
+// the fleet's keeper and the hall's, since the box's own account always answers.
 func (s *Spender) Take(customer *Customer, version int64, cost float64) Verdict {
 	s.mu.Lock()
 	q := s.queue(customer, version)
--- a/pkg/dispatch/rates.go
+++ b/pkg/dispatch/rates.go
@@ -76,7 +76,7 @@
 
 // rateAccount is the token bucket of one upstream.
 type rateAccount struct {
-	// tokens is how many requests may be granted, as of at.
+	// tokens is the number of requests that may be granted at the time at.
 	tokens float64
 	// denied counts the asks of about the last second that were not granted.
 	denied float64
--- a/pkg/dispatch/rates_test.go
+++ b/pkg/dispatch/rates_test.go
@@ -66,7 +66,7 @@
 			return accounts[box].Take(RateRequest{Engine: "e", ColdPerSecond: rate}, 1/float64(boxes), now)
 		}
 	}
-	// oneKeeper is what the software does: one box grants for all.
+	// oneKeeper lets one box grant for all, as the software does.
 	oneKeeper := func(int) grantFunc {
 		keeper := NewRateAccounts(tolerance)
 		return func(_ int, now time.Time) RateGrant {
--- a/pkg/fleet/backoff.go
+++ b/pkg/fleet/backoff.go
@@ -8,8 +8,8 @@
 	// Max bounds a backoff. An upstream that asked for a longer one is tried again after Max, by one
 	// request.
 	Max time.Duration
-	// Window is how many requests of this box may await an answer at first when the backoff is over. It
-	// doubles with each answer; 0 sets no bound.
+	// Window is the number of requests of this box that may await an answer at first when the backoff is
+	// over. It doubles with each answer; 0 sets no bound.
 	Window int
 	// RetryJitter bounds the random time by which callers that were refused because of a backoff are
 	// asked to retry later than its end.
@@ -29,8 +29,8 @@
 type backoff struct {
 	// until is its end; zero if there is none.
 	until time.Time
-	// window is how many requests may await an answer after the end; 0 sets no bound. inFlight is how
-	// many do.
+	// window is the number of requests that may await an answer after the end; 0 sets no bound. inFlight
+	// is the number that do.
 	window, inFlight int
 }
 
--- a/pkg/fleet/cold.go
+++ b/pkg/fleet/cold.go
@@ -15,7 +15,7 @@
 // maxCold bounds how long an engine counts as cold by its own statement.
 const maxCold = 10 * time.Minute
 
-// coldRecord is what is known about one engine.
+// coldRecord holds what is known about one engine.
 type coldRecord struct {
 	// coldUntil is the end that the engine stated; returnedAt is when it came back.
 	coldUntil, returnedAt time.Time
--- a/pkg/fleet/limit.go
+++ b/pkg/fleet/limit.go
@@ -14,7 +14,7 @@
 // travel between boxes.
 const endedLimitRetention = time.Minute
 
-// Limit is what is known about the rate limit of one upstream.
+// Limit holds what is known about the rate limit of one upstream.
 type Limit struct {
 	PerSecond float64
 	// At is when the latest answer stated it; zero if none did.
@@ -31,7 +31,7 @@
 	return l.Named() == other.Named() && (!l.Named() || l.PerSecond == other.PerSecond)
 }
 
-// LimitReport is what one box reports to another about the limit of an upstream.
+// LimitReport is the report of one box to another about the limit of an upstream.
 type LimitReport struct {
 	Upstream string `json:"upstream"`
 	// PerSecond is the limit; nil if it has ended.
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Change is what a list, or the end of lapseGrace, changed about an upstream.
+// Change describes one change of an upstream, caused by a list or by the end of lapseGrace.
 type Change struct {
 	Upstream Upstream
 	// Kind is one of the ChangeKind constants.
@@ -32,12 +32,12 @@
 	// Put holds the new and changed entries, and Dropped the ids of the removed ones.
 	Put     []Upstream
 	Dropped []string
-	// PreviousCurrentAt is when the list before was last known to be current.
+	// PreviousCurrentAt is the time at which the previous list was last known to be current.
 	PreviousCurrentAt time.Time
 }
 
 // SetList replaces the list of all upstreams, unless the new one is older than the latest, and returns
-// what changed. previousCurrentAt is when the list before was last known to be current.
+// what changed. previousCurrentAt is the time at which the previous list was last known to be current.
 func (d *Directory) SetList(revision int64, list []Upstream, previousCurrentAt time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -16,7 +16,7 @@
 //	backoff  with the answer that asked      this box                 after the time it asked for; see backoff
 //	limit    with the answer that named it   every box that knows it  with an answer that names none; see Limit
 
-// Notice is what the head of one answer states about the upstream's process, apart from the answer
+// Notice holds what the head of one answer states about the upstream's process, apart from the answer
 // itself.
 type Notice struct {
 	// Leaving means that the process ends soon.
@@ -26,14 +26,14 @@
 	Backoff time.Duration
 	// Cold is how long the upstream stays cold; 0 if the answer does not state it.
 	Cold time.Duration
-	// Limit is how many requests a second it accepts from all boxes together; nil if the answer names
-	// no limit.
+	// Limit is the number of requests per second that the upstream accepts from all boxes together; nil
+	// if the answer names no limit.
 	Limit *float64
 	// Unlimited means that the answer names no limit, and belongs to the request that was sent.
 	Unlimited bool
 	// Unreadable is a value that could not be parsed, which RecordNotice shortens; empty if all values could.
 	Unreadable string
-	// Source is what the answer was to, or SourceBox if another box reported the notice.
+	// Source tells what was answered, or is SourceBox if another box reported the notice.
 	Source Source
 	// Status is the HTTP status of the answer.
 	Status int
@@ -93,7 +93,7 @@
 	return !n.Leaving && n.Backoff <= 0 && n.Cold <= 0 && n.Limit == nil && !n.Unlimited && n.Unreadable == ""
 }
 
-// noticeState is what the answers of one incarnation of an upstream stated.
+// noticeState holds what the answers of one incarnation of an upstream stated.
 type noticeState struct {
 	// leavingAt is when this box learned that the upstream is leaving; zero if it did not.
 	leavingAt time.Time
--- a/pkg/fleet/residency.go
+++ b/pkg/fleet/residency.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Residency is what the order holder publishes about one engine: what its orders changed and the list
+// Residency holds what the order holder publishes about one engine: what its orders changed and the list
 // does not show yet. A later residency of the engine replaces it completely.
 type Residency struct {
 	// Adapters are the loaded adapters, by model. They override those of the list, which lags behind
--- a/pkg/residency/adapterload.go
+++ b/pkg/residency/adapterload.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// adapterLoadTime is how long an adapter takes to load on an engine that is not busy: some 10 ms on the
-	// users' bench (docs/FINDINGS.md).
+	// adapterLoadTime is how long an adapter takes to load on an engine that is not busy: some 10 ms.
 	adapterLoadTime = 11 * time.Millisecond
 	// adapterTimeout bounds the load of one adapter including the unloads before it. It also bounds one
 	// attempt to read an engine's order count.
--- a/pkg/residency/order.go
+++ b/pkg/residency/order.go
@@ -62,7 +62,7 @@
 	return [...]string{"unanswered", "accepted", "already", "conflict", "refused", "gone", "not allowed"}[r]
 }
 
-// Report is what an engine reports about itself. It lags behind by some hundred milliseconds.
+// Report is the report of an engine about itself. It lags behind by some hundred milliseconds.
 type Report struct {
 	Models []fleet.Holding
 	// Busy reports that an order is under way.
--- a/pkg/residency/orderround.go
+++ b/pkg/residency/orderround.go
@@ -33,7 +33,7 @@
 	avoidTime = 800 * time.Millisecond
 )
 
-// orderState is what the controller knows about the orders that an engine has taken.
+// orderState holds what the controller knows about the orders that an engine has taken.
 type orderState struct {
 	// count is the number of orders that the engine has taken.
 	count int64
