--- a/internal/cluster/activity_codec.go
+++ b/internal/cluster/activity_codec.go
@@ -13,7 +13,7 @@
 // The binary format of activity. Boxes that read it are sent it in place of JSON: activity is most of what boxes
 // send each other, and JSON is most of its cost. The loads of 240 upstreams with 40 prompts take 1.15 ms to encode
 // and 1.42 ms to decode as packed JSON of 9.2 KB, but 0.09 ms and 0.14 ms as 8.8 KB in this format
-// (BenchmarkActivity, beside other work on the machine).
+// (BenchmarkActivity, beside other work).
 //
 // Numbers are varints. A string is written out when it first occurs and by its index after that. A list begins with
 // its length.
--- a/internal/dev/try_out.go
+++ b/internal/dev/try_out.go
@@ -193,8 +193,8 @@
 const maxRetries = 5
 
 // retryRefused sends a request and retries it after the time that its refusal gives, a limited number of times. It
-// prints each refusal to out. Without the retries SendExamples failed on a busy machine, where a request may be
-// refused at first.
+// prints each refusal to out. Without the retries SendExamples failed under load, when a request may be refused at
+// first.
 func retryRefused(ctx context.Context, out io.Writer, send func() error) error {
 	for range maxRetries {
 		err := send()
